--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 
 namespace cranemux::wire {
 
--- a/fuzz/handover.cpp
+++ b/fuzz/handover.cpp
@@ -1,5 +1,5 @@
 // Any bytes as what another process tells: frames, records, and the module's memory, which it goes on with.
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 #include "handover/state.h"
 #include "target.h"
 
--- a/scale/hollow.cpp
+++ b/scale/hollow.cpp
@@ -18,8 +18,8 @@
 #include <utility>
 #include <variant>
 
-#include "ledger/figures.h"
-#include "ledger/keeping.h"
+#include "ledger/replica_placement.h"
+#include "ledger/wire_encoding.h"
 #include "scale/store.h"
 
 namespace cranemux::scale {
--- a/src/cli/quota_bound.cpp
+++ b/src/cli/quota_bound.cpp
@@ -1,4 +1,6 @@
 // The bound on what goes beyond quotas, from the settings alone.
+#include "ledger/quota_bound.h"
+
 #include <iomanip>
 #include <iostream>
 #include <sstream>
@@ -6,7 +8,6 @@
 #include "cli/commands.h"
 #include "config/services.h"
 #include "json/json.h"
-#include "ledger/bound.h"
 
 namespace cranemux::cli {
 namespace {
--- a/src/config/services.cpp
+++ b/src/config/services.cpp
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "config/yaml_reader.h"
-#include "ledger/rights.h"
+#include "ledger/leader_election.h"
 #include "routing/normalise.h"
 
 namespace cranemux::config {
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,6 +1,6 @@
 #include "config/settings.h"
 
-#include "ledger/rights.h"
+#include "ledger/leader_election.h"
 
 namespace cranemux::config {
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 
 namespace cranemux::config {
 
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -16,7 +16,7 @@
 #include <utility>
 #include <vector>
 
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 #include "metrics/counters.h"
 #include "metrics/logger.h"
 
--- a/src/brain.cpp
+++ b/src/decision_module.cpp
@@ -1,8 +1,8 @@
-// cranemux: every decision of a quota gateway. Interface: include/cranemux/brain.h
+// cranemux: every decision of a quota gateway. Interface: include/cranemux/decision_module.h
 //
 // Contents: tuned values; records; quota ledger and split, ceilings; held requests; peer messages; keepers;
 // server choice and health; attempts and answers; the clock.
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,12 +13,12 @@
 
 #include "config/settings.h"
 #include "handover/module_state.h"
-#include "ledger/asks.h"
-#include "ledger/books.h"
-#include "ledger/budget.h"
-#include "ledger/keeping.h"
-#include "ledger/parts.h"
+#include "ledger/lease_requests.h"
+#include "ledger/message_budget.h"
+#include "ledger/quota_state.h"
+#include "ledger/replica_placement.h"
 #include "ledger/report.h"
+#include "ledger/shards.h"
 #include "ledger/split.h"
 #include "pool/answer_times.h"
 #include "pool/cold_start.h"
--- a/src/handover/module_state.h
+++ b/src/handover/module_state.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "handover/archive.h"
-#include "ledger/books.h"
+#include "ledger/quota_state.h"
 #include "pool/server.h"
 
 namespace cranemux::handover {
--- a/src/ledger/account.h
+++ b/src/ledger/account.h
@@ -5,10 +5,10 @@
 #include <cstdint>
 #include <optional>
 
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 #include "ledger/ledger.h"
+#include "ledger/optimistic_lease.h"
 #include "ledger/split.h"
-#include "ledger/standing.h"
 
 namespace cranemux::ledger {
 
--- a/src/ledger/checksum.h
+++ b/src/ledger/checksum.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-#include "ledger/frame.h"
+#include "ledger/guarded_header.h"
 
 namespace cranemux::ledger {
 
--- a/src/ledger/agenda.h
+++ b/src/ledger/due_queue.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "ledger/rights.h"
+#include "ledger/leader_election.h"
 
 namespace cranemux::ledger {
 
--- a/src/ledger/frame.h
+++ b/src/ledger/guarded_header.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <string_view>
 
-#include "ledger/figures.h"
-#include "ledger/rights.h"
+#include "ledger/leader_election.h"
+#include "ledger/wire_encoding.h"
 
 namespace cranemux::ledger {
 
--- a/src/ledger/rights.cpp
+++ b/src/ledger/leader_election.cpp
@@ -1,8 +1,8 @@
-#include "ledger/rights.h"
+#include "ledger/leader_election.h"
 
 #include <algorithm>
 
-#include "ledger/keepers.h"
+#include "ledger/rendezvous_hash.h"
 
 namespace cranemux::ledger {
 namespace {
--- a/src/ledger/leaders.h
+++ b/src/ledger/leader_selection.h
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "ledger/account.h"
-#include "ledger/keeping.h"
-#include "ledger/questions.h"
+#include "ledger/replica_placement.h"
+#include "ledger/request_timing.h"
 #include "tier/isolation.h"
 #include "tier/suspicion.h"
 
--- a/src/ledger/asks.h
+++ b/src/ledger/lease_requests.h
@@ -6,10 +6,10 @@
 #include <utility>
 
 #include "ledger/account.h"
-#include "ledger/figures.h"
 #include "ledger/ledger.h"
-#include "ledger/mail.h"
 #include "ledger/split.h"
+#include "ledger/transport.h"
+#include "ledger/wire_encoding.h"
 
 namespace cranemux::ledger {
 
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -16,11 +16,11 @@
 #include <tuple>
 #include <vector>
 
-#include "ledger/bound.h"
-#include "ledger/pacing.h"
-#include "ledger/rights.h"
-#include "ledger/standing.h"
-#include "ledger/sweep.h"
+#include "ledger/incremental_erase.h"
+#include "ledger/leader_election.h"
+#include "ledger/optimistic_lease.h"
+#include "ledger/quota_bound.h"
+#include "ledger/request_pacing.h"
 
 namespace cranemux::ledger {
 
--- a/src/ledger/throttle.h
+++ b/src/ledger/load_shedding.h
@@ -17,8 +17,8 @@
 #include <utility>
 #include <vector>
 
-#include "ledger/rights.h"
-#include "ledger/sweep.h"
+#include "ledger/incremental_erase.h"
+#include "ledger/leader_election.h"
 
 namespace cranemux::ledger {
 
--- a/src/ledger/messages.cpp
+++ b/src/ledger/messages.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <initializer_list>
 
-#include "ledger/figures.h"
-#include "ledger/frame.h"
+#include "ledger/guarded_header.h"
+#include "ledger/wire_encoding.h"
 
 namespace cranemux::ledger {
 namespace {
--- a/src/ledger/messages.h
+++ b/src/ledger/messages.h
@@ -1,6 +1,7 @@
 // Messages between gatekeepers about quotas, with their fields in the order in which they travel, each a
-// varint. A message stands for one customer; several share a datagram (mail.h). All figures are totals of the
-// sender's incarnation or levels, so a message that is lost, repeated or late does no harm. Free of I/O.
+// varint. A message stands for one customer; several share a datagram (transport.h). All figures are totals
+// of the sender's incarnation or levels, so a message that is lost, repeated or late does no harm. Free of
+// I/O.
 #pragma once
 
 #include <cstdint>
--- a/src/ledger/standing.h
+++ b/src/ledger/optimistic_lease.h
@@ -10,8 +10,8 @@
 #include <chrono>
 #include <cstdint>
 
-#include "ledger/rights.h"
-#include "ledger/throttle.h"
+#include "ledger/leader_election.h"
+#include "ledger/load_shedding.h"
 
 namespace cranemux::ledger {
 
@@ -47,7 +47,8 @@
     half_ = share / 2;
   }
   bool open(Time now) const { return now < until_; }
-  // A word to all (throttle.h): `part` of its requests, from 0 to 1, may go, the others not; 1: it is open.
+  // A word to all (load_shedding.h): `part` of its requests, from 0 to 1, may go, the others not; 1: it is
+  // open.
   void throttle(double part, Time now) {
     part_ = part;
     throttled_until_ = part < 1 ? now + ThrottleList::kCounts : Time(-1);
--- a/src/ledger/bound.cpp
+++ b/src/ledger/quota_bound.cpp
@@ -1,4 +1,4 @@
-#include "ledger/bound.h"
+#include "ledger/quota_bound.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/ledger/bound.h
+++ b/src/ledger/quota_bound.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "ledger/rights.h"
+#include "ledger/leader_election.h"
 
 namespace cranemux::ledger {
 
--- a/src/ledger/books.h
+++ b/src/ledger/quota_state.h
@@ -6,10 +6,10 @@
 #include <vector>
 
 #include "ledger/account.h"
-#include "ledger/agenda.h"
-#include "ledger/leaders.h"
+#include "ledger/due_queue.h"
+#include "ledger/leader_selection.h"
 #include "ledger/ledger.h"
-#include "ledger/mail.h"
+#include "ledger/transport.h"
 
 namespace cranemux::ledger {
 
--- a/src/ledger/report.h
+++ b/src/ledger/report.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "ledger/ledger.h"
-#include "ledger/mail.h"
+#include "ledger/transport.h"
 
 namespace cranemux::ledger {
 
--- a/src/ledger/pacing.h
+++ b/src/ledger/request_pacing.h
@@ -8,7 +8,7 @@
 #include <algorithm>
 #include <cstddef>
 
-#include "ledger/rights.h"
+#include "ledger/leader_election.h"
 
 namespace cranemux::ledger {
 
--- a/src/ledger/questions.h
+++ b/src/ledger/request_timing.h
@@ -5,7 +5,7 @@
 #include <chrono>
 
 #include "ledger/account.h"
-#include "ledger/rights.h"
+#include "ledger/leader_election.h"
 
 namespace cranemux::ledger {
 
--- a/src/ledger/mail.cpp
+++ b/src/ledger/transport.cpp
@@ -1,12 +1,12 @@
-#include "ledger/mail.h"
+#include "ledger/transport.h"
 
 #include <algorithm>
 #include <random>
 #include <utility>
 
 #include "ledger/checksum.h"
-#include "ledger/frame.h"
-#include "ledger/keeping.h"
+#include "ledger/guarded_header.h"
+#include "ledger/replica_placement.h"
 
 namespace cranemux::ledger {
 namespace {
--- a/src/ledger/mail.h
+++ b/src/ledger/transport.h
@@ -2,9 +2,9 @@
 // gatekeeper is sent more than it takes in. Entries that are lost are asked again. Free of I/O.
 //
 // A datagram is a head, then entries (messages.h), then a checksum of both (checksum.h). Head: version (1),
-// life of the sender (2, little endian); where quotas are guarded more follows (frame.h). An entry: kind and
-// plan (1: two bits and six), customer (4, little endian), and its message's fields. Where quotas are
-// guarded, news of the members (membership.h) may follow, until the datagram's end.
+// life of the sender (2, little endian); where quotas are guarded more follows (guarded_header.h). An entry:
+// kind and plan (1: two bits and six), customer (4, little endian), and its message's fields. Where quotas
+// are guarded, news of the members (membership.h) may follow, until the datagram's end.
 #pragma once
 
 #include <deque>
@@ -15,9 +15,9 @@
 #include <string_view>
 #include <vector>
 
+#include "ledger/leader_election.h"
+#include "ledger/load_shedding.h"
 #include "ledger/messages.h"
-#include "ledger/rights.h"
-#include "ledger/throttle.h"
 #include "membership/membership.h"
 
 namespace cranemux::ledger {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "ledger/figures.h"
+#include "ledger/wire_encoding.h"
 
 namespace cranemux::membership {
 namespace {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,7 +1,7 @@
-// Who is in the tier: in which life, suspected, gone or back. After SWIM (see formulas.h), with suspicion
-// that a live member refutes, and news that rides on the mail that flows anyway. Free of I/O: times come in,
-// messages go out; whoever hosts it decides when they leave. Any message of a member proves that it is there,
-// so where mail flows no probe is sent.
+// Who is in the tier: in which life, suspected, gone or back. After SWIM (see detection_bounds.h), with
+// suspicion that a live member refutes, and news that rides on the mail that flows anyway. Free of I/O: times
+// come in, messages go out; whoever hosts it decides when they leave. Any message of a member proves that it
+// is there, so where mail flows no probe is sent.
 //
 // On the wire, all in one message's trailer:
 //   a sum over what follows (2), sender's life (2, both little endian), its age in ms (varint), its
@@ -18,7 +18,7 @@
 #include <string_view>
 #include <vector>
 
-#include "membership/formulas.h"
+#include "membership/detection_bounds.h"
 #include "membership/member.h"
 
 namespace cranemux::membership {
--- a/src/peers/mailbag.cpp
+++ b/src/peers/datagram_batcher.cpp
@@ -1,4 +1,4 @@
-#include "peers/mailbag.h"
+#include "peers/datagram_batcher.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -1,6 +1,6 @@
 // Datagrams between gatekeepers, on one socket. A ledger alone sends the module's messages as they are; where
 // there are several, each message carries its ledger's tag, and they share the budget of datagrams
-// (mailbag.h).
+// (datagram_batcher.h).
 #pragma once
 
 #include <memory>
@@ -10,7 +10,7 @@
 #include "config/config.h"
 #include "core/core.h"
 #include "net/net.h"
-#include "peers/mailbag.h"
+#include "peers/datagram_batcher.h"
 
 namespace cranemux::peers {
 
--- a/src/pool/repeats.h
+++ b/src/pool/repeats.h
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 
 namespace cranemux::pool {
 
--- a/src/pool/server.h
+++ b/src/pool/server.h
@@ -1,7 +1,7 @@
 // What the decision module has learned of a server.
 #pragma once
 
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 
 namespace cranemux::pool {
 
--- a/src/pool/tries.h
+++ b/src/pool/tries.h
@@ -8,7 +8,7 @@
 #include <cstdlib>
 #include <map>
 
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 
 namespace cranemux::pool {
 
--- a/src/resolver/pacing.cpp
+++ b/src/resolver/call_pacing.cpp
@@ -1,4 +1,4 @@
-#include "resolver/pacing.h"
+#include "resolver/call_pacing.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/resolver/pacing.h
+++ b/src/resolver/call_pacing.h
@@ -8,7 +8,7 @@
 #include <cstdint>
 #include <random>
 
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 
 namespace cranemux::resolver {
 
--- a/src/resolver/resolver.h
+++ b/src/resolver/resolver.h
@@ -4,12 +4,12 @@
 #include <functional>
 
 #include "config/config.h"
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 #include "metrics/counters.h"
 #include "net/net.h"
-#include "resolver/intake.h"
+#include "resolver/call_pacing.h"
 #include "resolver/object_reader.h"
-#include "resolver/pacing.h"
+#include "resolver/result_filter.h"
 
 namespace cranemux::resolver {
 
--- a/src/resolver/intake.cpp
+++ b/src/resolver/result_filter.cpp
@@ -1,4 +1,4 @@
-#include "resolver/intake.h"
+#include "resolver/result_filter.h"
 
 namespace cranemux::resolver {
 
--- a/testing/small_tier.h
+++ b/testing/small_tier.h
@@ -13,9 +13,9 @@
 #include <variant>
 #include <vector>
 
-#include "cranemux/brain.h"
-#include "ledger/figures.h"
-#include "ledger/keeping.h"
+#include "cranemux/decision_module.h"
+#include "ledger/replica_placement.h"
+#include "ledger/wire_encoding.h"
 
 namespace cranemux::testing {
 
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 
 namespace cranemux {
 namespace {
--- a/tests/damage_test.cpp
+++ b/tests/damage_test.cpp
@@ -11,7 +11,7 @@
 #include <tuple>
 #include <utility>
 
-#include "ledger/mail.h"
+#include "ledger/transport.h"
 #include "testing/small_tier.h"
 
 namespace {
--- a/tests/brain_test.cpp
+++ b/tests/decision_module_test.cpp
@@ -1,5 +1,5 @@
 // Tests of the module through its interface, with hand-fed events.
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 
 #include <gtest/gtest.h>
 #include <malloc.h>
--- a/tests/handover_state_test.cpp
+++ b/tests/handover_state_test.cpp
@@ -1,7 +1,7 @@
 // What one life tells the next, without a socket: frames, records, and the decision module's memory.
 #include <gtest/gtest.h>
 
-#include "cranemux/brain.h"
+#include "cranemux/decision_module.h"
 #include "handover/state.h"
 
 namespace cranemux::handover {
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -10,11 +10,11 @@
 #include <set>
 #include <unordered_set>
 
-#include "ledger/bound.h"
-#include "ledger/frame.h"
-#include "ledger/keepers.h"
-#include "ledger/parts.h"
-#include "ledger/rights.h"
+#include "ledger/guarded_header.h"
+#include "ledger/leader_election.h"
+#include "ledger/quota_bound.h"
+#include "ledger/rendezvous_hash.h"
+#include "ledger/shards.h"
 #include "ledger/split.h"
 
 namespace {
--- a/tests/throttle_test.cpp
+++ b/tests/load_shedding_test.cpp
@@ -1,6 +1,6 @@
 // Throttling by lot, where members are set aside to keep ledgers: its parts (RapidCheck), the share against
 // demand that changes, and the module with messages lost, forged and late.
-#include "ledger/throttle.h"
+#include "ledger/load_shedding.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -13,14 +13,14 @@
 #include <set>
 #include <string>
 
-#include "cranemux/brain.h"
-#include "ledger/asks.h"
-#include "ledger/budget.h"
+#include "cranemux/decision_module.h"
 #include "ledger/checksum.h"
-#include "ledger/figures.h"
-#include "ledger/keeping.h"
-#include "ledger/mail.h"
+#include "ledger/lease_requests.h"
+#include "ledger/message_budget.h"
+#include "ledger/replica_placement.h"
 #include "ledger/split.h"
+#include "ledger/transport.h"
+#include "ledger/wire_encoding.h"
 #include "scale/hollow.h"
 #include "testing/small_tier.h"
 
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -6,7 +6,7 @@
 
 #include <chrono>
 
-#include "ledger/mail.h"
+#include "ledger/transport.h"
 
 namespace cranemux::ledger {
 namespace {
--- a/tests/standing_test.cpp
+++ b/tests/optimistic_lease_test.cpp
@@ -1,6 +1,6 @@
 // Standing credit, the agenda of what is to be looked at, and members set aside to keep ledgers: their own
 // parts, the module with messages lost, and a small fleet of hollow gatekeepers.
-#include "ledger/standing.h"
+#include "ledger/optimistic_lease.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -12,11 +12,11 @@
 #include <set>
 #include <string>
 
-#include "cranemux/brain.h"
-#include "ledger/agenda.h"
-#include "ledger/budget.h"
-#include "ledger/figures.h"
-#include "ledger/keeping.h"
+#include "cranemux/decision_module.h"
+#include "ledger/due_queue.h"
+#include "ledger/message_budget.h"
+#include "ledger/replica_placement.h"
+#include "ledger/wire_encoding.h"
 #include "scale/hollow.h"
 
 namespace cranemux {
--- a/tests/pacing_test.cpp
+++ b/tests/pacing_test.cpp
@@ -1,6 +1,4 @@
 // Many gatekeepers and one discovery, in virtual time.
-#include "resolver/pacing.h"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,6 +7,8 @@
 #include <queue>
 #include <vector>
 
+#include "resolver/call_pacing.h"
+
 namespace cranemux::resolver {
 namespace {
 
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <random>
 
-#include "peers/mailbag.h"
+#include "peers/datagram_batcher.h"
 #include "pool/admission.h"
 #include "pool/node_list.h"
 #include "pool/overflow.h"
--- a/tests/quota_bound_test.cpp
+++ b/tests/quota_bound_test.cpp
@@ -9,7 +9,7 @@
 #include <set>
 
 #include "json/json.h"
-#include "ledger/frame.h"
+#include "ledger/guarded_header.h"
 #include "testing/tier.h"
 
 namespace {
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -14,7 +14,7 @@
 
 #include <string>
 
-#include "ledger/keepers.h"
+#include "ledger/rendezvous_hash.h"
 #include "testing/small_tier.h"
 
 namespace {
--- a/tests/resolver_test.cpp
+++ b/tests/resolver_test.cpp
@@ -6,7 +6,7 @@
 #include <set>
 
 #include "pool/node_list.h"
-#include "resolver/intake.h"
+#include "resolver/result_filter.h"
 #include "testing/discovery.h"
 
 namespace cranemux::resolver {
--- a/tests/soak_run.cpp
+++ b/tests/soak_run.cpp
@@ -11,9 +11,9 @@
 #include <set>
 
 #include "json/json.h"
-#include "ledger/figures.h"
-#include "ledger/keepers.h"
-#include "ledger/keeping.h"
+#include "ledger/rendezvous_hash.h"
+#include "ledger/replica_placement.h"
+#include "ledger/wire_encoding.h"
 #include "testing/sanitized.h"
 #include "testing/tier.h"
 
