--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,4 +1,4 @@
-// cranemux_adapter: hosts one Brain for each front door and speaks the simulator's wire.
+// cranemux_adapter: hosts one DecisionModule for each front door and speaks the simulator's wire.
 #include <cstdio>
 #include <exception>
 #include <iostream>
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -26,7 +26,7 @@
                          {"connect_failed", Result::connect_failed},
                          {"reset", Result::reset},
                          {"cancelled", Result::cancelled},
-                         {"moot", Result::moot}});
+                         {"moot", Result::not_sent}});
 }
 
 std::vector<std::string> split(std::string_view text, char separator) {
@@ -63,14 +63,14 @@
   entry.state = choose<ServerState>(required(fields, "readiness"), "readiness",
                                     {{"Running", ServerState::running},
                                      {"Stopping", ServerState::draining},
-                                     {"Deleted", ServerState::gone}});
+                                     {"Deleted", ServerState::removed}});
   entry.weight = number_of<double>(fields, "rating", 1.0);
   entry.started = number_of<Nanos>(fields, "start-time-ns");
   return entry;
 }
 
 struct Host {
-  std::optional<Brain> brain;
+  std::optional<DecisionModule> decision_module;
   std::vector<std::string> load_names;
   std::vector<Event> events;
   std::string fault;
@@ -118,7 +118,7 @@
     auto settings = parse_settings(fields);
     host.load_names = split(text_of(fields, "stats.fields"), ',');
     try {
-      host.brain.emplace(settings);
+      host.decision_module.emplace(settings);
     } catch (const std::exception& error) {
       host.fault = error.what();
     }
@@ -166,16 +166,17 @@
     } else if (name == "due") {
       events.emplace_back(Timer{number_of<std::uint64_t>(fields, "token")});
     } else if (name == "aborted") {
-      events.emplace_back(Gone{required(fields, "rid")});
+      events.emplace_back(ClientGone{required(fields, "rid")});
     } else if (name == "first_byte") {
       events.emplace_back(FirstByte{required(fields, "rid"), number_of<int>(fields, "n")});
     } else if (name == "probe_result") {
-      events.emplace_back(Probed{required(fields, "backend"), parse_result(required(fields, "ending")),
-                                 number_of<Nanos>(fields, "cost-time-ns"),
-                                 parse_load(text_of(fields, "gauge"), host.load_names)});
+      events.emplace_back(ProbeResult{required(fields, "backend"), parse_result(required(fields, "ending")),
+                                      number_of<Nanos>(fields, "cost-time-ns"),
+                                      parse_load(text_of(fields, "gauge"), host.load_names)});
     } else if (name == "total") {
-      events.emplace_back(Counted{number_of<std::uint64_t>(fields, "counter"),
-                                  text_of(fields, "ending") == "ok", number_of<double>(fields, "total")});
+      events.emplace_back(CounterResult{number_of<std::uint64_t>(fields, "counter"),
+                                        text_of(fields, "ending") == "ok",
+                                        number_of<double>(fields, "total")});
     } else {
       throw ParseError("unknown message");
     }
@@ -186,7 +187,7 @@
       if (host.events.empty() && host.fault.empty()) continue;
       std::vector<Action> actions;
       try {
-        if (host.brain) host.brain->step(now_, host.events, actions);
+        if (host.decision_module) host.decision_module->step(now_, host.events, actions);
       } catch (const std::exception& error) {
         host.fault = error.what();
       }
@@ -278,7 +279,7 @@
   return std::visit(
       Overloaded{
           [&](const Send& a) {
-            return "place rid=" + a.request + " backend=" + a.server + " patience-ns=" + number(a.patience);
+            return "place rid=" + a.request + " backend=" + a.server + " patience-ns=" + number(a.timeout);
           },
           [&](const Cancel& a) { return "recall rid=" + a.request + " n=" + number(a.attempt); },
           [&](const Refuse& a) {
@@ -288,10 +289,12 @@
           [&](const Fail& a) { return "error rid=" + a.request; },
           [&](const SetTimer& a) { return "arm token=" + number(a.token) + " at-ns=" + number(a.at); },
           [&](const Probe& a) { return "inspect backend=" + a.server; },
-          [&](const Tell& a) { return "announce whom=" + number(a.to) + " body=" + encode_base64(a.bytes); },
-          [&](const Watch&) { return std::string("stream_changes enable=1"); },
+          [&](const SendToPeer& a) {
+            return "announce whom=" + number(a.to) + " body=" + encode_base64(a.bytes);
+          },
+          [&](const WatchServers&) { return std::string("stream_changes enable=1"); },
           [&](const Log& a) { return "remark words=" + a.text; },
-          [&](const Elsewhere&) { return std::string("remark words=handed over"); },  // never here
+          [&](const SpentElsewhere&) { return std::string("remark words=handed over"); },  // never here
       },
       action);
 }
--- a/fuzz/handover.cpp
+++ b/fuzz/handover.cpp
@@ -13,17 +13,17 @@
   Settings settings;
   settings.classes = {{.name = "status", .aim = 400'000'000, .give_up = 1'500'000'000}};
   settings.plans = {{.name = "corner", .rate = 1, .burst = 4}};
-  Brain brain(settings);
+  DecisionModule decision_module(settings);
   std::vector<Action> actions;
   constexpr Nanos kNow = 100'000'000'000;
-  if (!brain.restore(kNow, bytes, actions)) return 0;
+  if (!decision_module.restore(kNow, bytes, actions)) return 0;
   Request request;
   request.id = "1";
   request.klass = "status";
   request.plan = "corner";
   request.customer = "c";
   request.budget = 1'000'000'000;
-  brain.step(kNow + 1'000'000, {ServerList{ListScope::stored, {{.id = "one"}}}, request}, actions);
-  brain.step(kNow + 300'000'000, {Timer{1}}, actions);
+  decision_module.step(kNow + 1'000'000, {ServerList{ListScope::stored, {{.id = "one"}}}, request}, actions);
+  decision_module.step(kNow + 300'000'000, {Timer{1}}, actions);
   return 0;
 }
--- a/include/cranemux/decision_module.h
+++ b/include/cranemux/decision_module.h
@@ -1,10 +1,10 @@
-// The whole interface of cranemux: settings, events, actions, and Brain, one per front door.
+// The whole interface of cranemux: settings, events, actions, and DecisionModule, one per front door.
 //
-// A front door makes one Brain when it starts, then calls step() whenever something has happened,
+// A front door makes one DecisionModule when it starts, then calls step() whenever something has happened,
 // with all that happened since the last call, in order. The actions it gets back are carried out in
 // the order given, at the same clock time. A minimal loop:
 //
-//     cranemux::Brain brain(settings);                 // throws std::invalid_argument
+//     cranemux::DecisionModule brain(settings);                 // throws std::invalid_argument
 //     std::vector<cranemux::Event> events{cranemux::ServerList{...}};
 //     std::vector<cranemux::Action> actions;
 //     for (;;) {
@@ -15,9 +15,9 @@
 //     }
 //
 // Time is in nanoseconds of the caller's steady clock and must never go back. The first step must
-// bring the server list as last known (ListScope::stored). A Brain shares nothing with any other
-// Brain; one Brain must not be stepped from two threads at once. Events that name unknown requests,
-// attempts, servers or peers are ignored. Equal settings and events give equal actions.
+// bring the server list as last known (ListScope::stored). A DecisionModule shares nothing with any other
+// DecisionModule; one DecisionModule must not be stepped from two threads at once. Events that name unknown
+// requests, attempts, servers or peers are ignored. Equal settings and events give equal actions.
 #pragma once
 
 #include <cstdint>
@@ -77,7 +77,7 @@
   bool guarded = false;
   // So many of the gateways, the last ones, keep the quotas of all others, take in what those send, and get
   // no requests of their own; 0: all keep quotas beside their work. Not where quotas are guarded.
-  int keepers = 0;
+  int dedicated_leaders = 0;
   bool peers = false;
   bool probes = false;
   bool cancel = false;
@@ -106,7 +106,7 @@
 
 // ---- events -------------------------------------------------------------------------------------
 
-enum class ServerState { running, draining, gone };
+enum class ServerState { running, draining, removed };
 enum class ListScope { changes, full, stored, failed };
 
 struct ServerEntry {
@@ -121,7 +121,7 @@
   ListScope scope = ListScope::full;
   std::vector<ServerEntry> servers;
 };
-// From now on the Brain owes exactly one final answer: an Outcome with `finished`, Refuse or Fail.
+// From now on the DecisionModule owes exactly one final answer: an Outcome with `finished`, Refuse or Fail.
 struct Request {
   std::string id;  // never used twice
   std::string klass, plan, customer;
@@ -138,7 +138,7 @@
   std::string request;
   int attempt = 0;
 };
-enum class Result { ok, error, full, timeout, connect_failed, reset, cancelled, moot };
+enum class Result { ok, error, full, timeout, connect_failed, reset, cancelled, not_sent };
 // Exactly one for each Send.
 struct Outcome {
   std::string request;
@@ -149,10 +149,10 @@
   double settled_units = 0;  // > 0: true units of the request
   LoadReport load;
 };
-struct Gone {  // the client left, or the answer is overdue
+struct ClientGone {  // the client left, or the answer is overdue
   std::string request;
 };
-struct Probed {
+struct ProbeResult {
   std::string server;
   Result result = Result::ok;
   Nanos took = 0;
@@ -165,7 +165,7 @@
 struct Timer {
   std::uint64_t token = 0;
 };
-struct Counted {
+struct CounterResult {
   std::uint64_t name = 0;
   bool ok = false;
   double total = 0;
@@ -173,24 +173,24 @@
 // Another process of this gateway serves in its place: what is spent from now on is told, as Elsewhere. Or,
 // after all, it serves on.
 struct HandedOver {
-  bool away = true;
+  bool active_elsewhere = true;
 };
 // Spent, or settled afterwards, by a process of this gateway that has handed over.
-struct Elsewhere {
+struct SpentElsewhere {
   std::uint32_t customer = 0;  // its hash
   double units = 0;
   bool settled = false;
 };
-struct Leaving {};  // it is about to end: what it keeps of guarded quotas goes to others
-using Event = std::variant<ServerList, Request, FirstByte, Outcome, Gone, Probed, PeerMessage, Timer, Counted,
-                           Leaving, HandedOver, Elsewhere, Uploaded>;
+struct ShuttingDown {};  // it is about to end: what it keeps of guarded quotas goes to others
+using Event = std::variant<ServerList, Request, FirstByte, Outcome, ClientGone, ProbeResult, PeerMessage,
+                           Timer, CounterResult, ShuttingDown, HandedOver, SpentElsewhere, Uploaded>;
 
 // ---- actions ------------------------------------------------------------------------------------
 
 struct Send {  // attempts of a request are numbered 0, 1, ... in the order sent
   std::string request, server;
-  Nanos patience = 0;  // the attempt's time-out
-  Nanos whole_by = 0;  // its last byte reaches the server by then, or it is not sent; 0: at any time
+  Nanos timeout = 0;        // the attempt's time-out
+  Nanos send_deadline = 0;  // its last byte reaches the server by then, or it is not sent; 0: at any time
 };
 struct Cancel {
   std::string request;
@@ -210,37 +210,38 @@
 struct Probe {
   std::string server;
 };
-struct Tell {
+struct SendToPeer {
   int to = 0;
   std::string bytes;  // 256 at most
 };
-struct Watch {};  // subscribe to list changes
+struct WatchServers {};  // subscribe to list changes
 struct Log {
   std::string text;
 };
-using Action = std::variant<Send, Cancel, Refuse, Fail, SetTimer, Probe, Tell, Watch, Log, Elsewhere>;
+using Action =
+    std::variant<Send, Cancel, Refuse, Fail, SetTimer, Probe, SendToPeer, WatchServers, Log, SpentElsewhere>;
 
 // A customer's store as this front door knows it: by the last word of its keeper, filled since, less own use.
 struct Allowance {
-  double level = 0, burst = 0;  // units; the level is below 0 while a settled difference is paid back
-  double rate = 0;              // units a second
+  double tokens = 0, burst = 0;  // units; the level is below 0 while a settled difference is paid back
+  double rate = 0;               // units a second
 };
 
-class Brain {
+class DecisionModule {
  public:
-  explicit Brain(const Settings& settings);  // std::invalid_argument if they make no sense
+  explicit DecisionModule(const Settings& settings);  // std::invalid_argument if they make no sense
   // Holds the quotas of customers together with `shares`, which must have equal plans: each has requests and
   // servers of its own. One clock for both. Peer messages about these quotas go to either.
-  Brain(const Settings& settings, const Brain& shares);
-  ~Brain();
-  Brain(Brain&&) noexcept;
-  Brain& operator=(Brain&&) noexcept;
+  DecisionModule(const Settings& settings, const DecisionModule& shares);
+  ~DecisionModule();
+  DecisionModule(DecisionModule&&) noexcept;
+  DecisionModule& operator=(DecisionModule&&) noexcept;
   // Appends to `actions`. `now` never goes back.
   void step(Nanos now, const std::vector<Event>& events, std::vector<Action>& actions);
   // None: nothing is known of it here, or its plan has no rate.
   std::optional<Allowance> allowance(Nanos now, const std::string& customer) const;
   // Servers in the list that it would send nothing now, since they drain or have failed.
-  std::size_t avoided(Nanos now) const;
+  std::size_t unavailable_servers(Nanos now) const;
   // What the next process of this gateway needs to know, and taking it up: before the first step. False: it
   // makes no sense here, or quotas are guarded, which have a way of their own; nothing has changed.
   std::string save() const;
--- a/scale/hollow.cpp
+++ b/scale/hollow.cpp
@@ -141,8 +141,8 @@
   Nanos now_ = kBegin;
   std::uint64_t order_ = 0, ids_ = 0;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  std::vector<Brain> brains_;  // by service; the first one's quotas are all of theirs
-  std::vector<Nanos> ticks_;   // by service
+  std::vector<DecisionModule> modules_;  // by service; the first one's quotas are all of theirs
+  std::vector<Nanos> ticks_;             // by service
   std::unordered_map<std::uint64_t, Pending> pending_;
   std::vector<Nanos> zone_back_;  // by zone: when its workers started, by discovery; 0: long ago, -1: gone
   std::unique_ptr<Arrivals> arrivals_;
@@ -196,7 +196,7 @@
   return {std::to_string(worker),
           "z" + std::to_string(zone),
           0,
-          back < 0 ? ServerState::gone : ServerState::running,
+          back < 0 ? ServerState::removed : ServerState::running,
           1,
           std::max<Nanos>(0, back)};
 }
@@ -211,12 +211,12 @@
   auto settings = fleet_.s.settings();
   settings.index = index_;
   settings.zone = "z" + std::to_string(fleet_.zone_of(index_));
-  brains_.clear();
+  modules_.clear();
   pending_.clear();
   ticks_.assign(static_cast<std::size_t>(fleet_.s.services), 0);
   for (int service = 0; service < fleet_.s.services; ++service) {
     settings.seed = random_();
-    service == 0 ? brains_.emplace_back(settings) : brains_.emplace_back(settings, brains_.front());
+    service == 0 ? modules_.emplace_back(settings) : modules_.emplace_back(settings, modules_.front());
   }
   for (int service = 0; service < fleet_.s.services; ++service) {
     double begun = 0;
@@ -237,7 +237,7 @@
 void Hollow::feed(int service, const std::vector<Event>& events, double& cost) {
   std::vector<Action> actions;
   const double from = processor_ns();
-  brains_[static_cast<std::size_t>(service)].step(now_, events, actions);
+  modules_[static_cast<std::size_t>(service)].step(now_, events, actions);
   if (fleet_.counts_at(now_)) cost += processor_ns() - from;
   for (const auto& action : actions) carry_out(service, action);
 }
@@ -246,7 +246,7 @@
   if (const auto* timer = std::get_if<SetTimer>(&action)) {
     ticks_[static_cast<std::size_t>(service)] = timer->at;
     put(timer->at, Tick{service, timer->at});
-  } else if (const auto* tell = std::get_if<Tell>(&action)) {
+  } else if (const auto* tell = std::get_if<SendToPeer>(&action)) {
     const bool counts_now = fleet_.counts_at(now_);
     counts.sent += counts_now;
     counts.sent_bytes += counts_now * static_cast<double>(tell->bytes.size());
@@ -265,8 +265,8 @@
     }
     const int zone = std::stoi(send->server) % fleet_.s.zones;
     const auto work = nanos(-std::log(1 - drawn()) * fleet_.s.work_ms / 1000);
-    const bool late = work > send->patience || fleet_.lost_zone(zone, now_);
-    put(now_ + (late ? send->patience : work),
+    const bool late = work > send->timeout || fleet_.lost_zone(zone, now_);
+    put(now_ + (late ? send->timeout : work),
         Answer{id, pending.attempts++, late ? Result::timeout : Result::ok, now_});
   } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
     put(now_, Answer{std::stoull(cancel->request), cancel->attempt, Result::cancelled, now_});
--- a/scale/population.cpp
+++ b/scale/population.cpp
@@ -46,7 +46,7 @@
 Settings Scenario::settings() const {
   Settings s;
   s.gateways = members();
-  s.keepers = control_machines;
+  s.dedicated_leaders = control_machines;
   s.zone = "z0";
   s.classes = {{"look", 400 * kMs, 1500 * kMs, 0, 3, Repeat::safe, RepeatScope::all, 0, false},
                {"book", 750 * kMs, 2000 * kMs, 0, 5, Repeat::unsafe, RepeatScope::all, 0, false}};
--- a/src/attempt/attempts.cpp
+++ b/src/attempt/attempts.cpp
@@ -150,7 +150,7 @@
 
 net::awaitable<void> Attempts::run(std::shared_ptr<Call> call) {
   core::AttemptResult result;
-  result.result = call->stop == Stop::none ? Result::connect_failed : Result::moot;
+  result.result = call->stop == Stop::none ? Result::connect_failed : Result::not_sent;
   auto own = static_cast<const Exchange&>(*call->payload).own_answer();
   if (own && call->stop == Stop::none) {
     result = std::move(*own);
@@ -170,7 +170,7 @@
     const bool too_late = late || Clock::now() >= call->whole_by;
     if (!call->written && (call->no_room || call->stop == Stop::withdrawn || (up && late) ||
                            (call->stop == Stop::timeout && too_late))) {
-      result.result = Result::moot;  // it has not gone out whole, and the worker is not to blame
+      result.result = Result::not_sent;  // it has not gone out whole, and the worker is not to blame
     }
     log_end(*call, result.result, kept);
     call->timer.cancel();
--- a/src/config/services.cpp
+++ b/src/config/services.cpp
@@ -96,7 +96,7 @@
     settings_.gateways = std::max(1, static_cast<int>(out_.peers.size()));
     settings_.index = static_cast<int>(yaml_.number(node, "index", "tier.", 0, 0, settings_.gateways - 1));
     settings_.peers = out_.peer_listen && settings_.gateways > 1;
-    settings_.keepers =
+    settings_.dedicated_leaders =
         static_cast<int>(yaml_.number(node, "keepers", "tier.", 0, 0, std::max(0, settings_.gateways - 1)));
     out_.peer_messages_per_s = yaml_.number(node, "messages_per_s", "tier.", 40, 1, 1e6);
     settings_.peer_messages_per_s = out_.peer_messages_per_s;
@@ -104,7 +104,7 @@
     if (quotas != "trusting" && quotas != "guarded")
       yaml_.fault(node["quotas"], "tier.quotas", "must be trusting or guarded");
     settings_.guarded = quotas == "guarded";
-    if (settings_.guarded && settings_.keepers > 0)
+    if (settings_.guarded && settings_.dedicated_leaders > 0)
       yaml_.fault(node["keepers"], "tier.keepers",
                   "goes with trusting quotas only: every member guards its part");
     if (settings_.guarded && settings_.gateways > ledger::kMostGuarded) {
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -151,8 +151,9 @@
   Faults faults;
   faults.need(s.gateways >= 1, "balancers", "must be 1 or more");
   faults.need(s.index >= 0 && s.index < s.gateways, "index", "must lie within balancers, from 0");
-  faults.need(s.keepers >= 0 && s.keepers < s.gateways && !(s.guarded && s.keepers > 0), "keepers",
-              "must be fewer than the gatekeepers, and none where quotas are guarded");
+  faults.need(
+      s.dedicated_leaders >= 0 && s.dedicated_leaders < s.gateways && !(s.guarded && s.dedicated_leaders > 0),
+      "keepers", "must be fewer than the gatekeepers, and none where quotas are guarded");
   faults.need(!s.guarded || s.gateways <= ledger::kMostGuarded, "balancers", "too many for guarded quotas");
   faults.need(!s.classes.empty(), "classes", "must hold a class");
   faults.need(s.max_attempts >= 1, "caps.most-tries", "must be 1 or more");
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -29,7 +29,8 @@
     : settings_(settings),
       logger_(logger),
       counters_(counters),
-      brain_(shares ? cranemux::Brain(settings, shares->brain_) : cranemux::Brain(settings)) {
+      module_(shares ? cranemux::DecisionModule(settings, shares->module_)
+                     : cranemux::DecisionModule(settings)) {
   for (const auto& c : settings_.classes) counters_.lanes[c.name];  // each is told of from the first, at 0
 }
 
@@ -67,12 +68,12 @@
 
 std::optional<cranemux::Allowance> Core::allowance(const std::string& customer) const {
   const auto now = std::chrono::duration_cast<nanoseconds>(Clock::now().time_since_epoch());
-  return brain_.allowance(now.count(), customer);
+  return module_.allowance(now.count(), customer);
 }
 
 std::string Core::guard_report() const {
   const auto now = std::chrono::duration_cast<nanoseconds>(Clock::now().time_since_epoch());
-  return brain_.guard_report(now.count());
+  return module_.guard_report(now.count());
 }
 
 RpcId Core::take(RpcTerms terms, std::shared_ptr<const Payload> payload, std::shared_ptr<Channel> channel) {
@@ -127,12 +128,13 @@
   at->second.gone = true;
   guards_.erase({at->second.guard, id});
   if (at->second.out > 0) attempts_->withdraw(id);
-  push(cranemux::Gone{std::to_string(id)});
+  push(cranemux::ClientGone{std::to_string(id)});
   drop_if_over(id);
 }
 
 std::size_t Core::avoided() const {
-  return brain_.avoided(std::chrono::duration_cast<nanoseconds>(Clock::now().time_since_epoch()).count());
+  return module_.unavailable_servers(
+      std::chrono::duration_cast<nanoseconds>(Clock::now().time_since_epoch()).count());
 }
 
 void Core::attempt_written(RpcId id) {
@@ -147,7 +149,7 @@
   auto& rpc = at->second;
   --rpc.out;
   const bool never_ran = result.result == Result::full || result.result == Result::connect_failed ||
-                         result.result == Result::moot;
+                         result.result == Result::not_sent;
   rpc.may_have_run = rpc.may_have_run || !never_ran;
   if (result.result == Result::ok && rpc.channel) {
     finish(id, rpc,
@@ -169,16 +171,16 @@
 
 void Core::peer_said(int from, std::string bytes) { push(cranemux::PeerMessage{from, std::move(bytes)}); }
 
-void Core::leaving() { push(cranemux::Leaving{}); }
+void Core::leaving() { push(cranemux::ShuttingDown{}); }
 
 // What has happened so far is taken up first, so that the state holds it.
-std::string Core::hand_over(std::function<void(const cranemux::Elsewhere&)> spent) {
+std::string Core::hand_over(std::function<void(const cranemux::SpentElsewhere&)> spent) {
   do {
     turn();
   } while (!events_.empty());
   spent_ = std::move(spent);
   push(cranemux::HandedOver{true});
-  return brain_.save();
+  return module_.save();
 }
 
 void Core::take_back() { push(cranemux::HandedOver{false}); }
@@ -186,12 +188,12 @@
 bool Core::take_over(const std::string& state) {
   actions_.clear();
   const auto now = std::chrono::duration_cast<nanoseconds>(Clock::now().time_since_epoch());
-  if (!brain_.restore(now.count(), state, actions_)) return false;
+  if (!module_.restore(now.count(), state, actions_)) return false;
   for (const auto& action : actions_) carry_out(action);
   return true;
 }
 
-void Core::spent_elsewhere(const cranemux::Elsewhere& spent) { push(cranemux::Elsewhere(spent)); }
+void Core::spent_elsewhere(const cranemux::SpentElsewhere& spent) { push(cranemux::SpentElsewhere(spent)); }
 
 void Core::give_up() {
   std::vector<RpcId> left;
@@ -206,7 +208,7 @@
   auto& rpc = rpcs_.at(id);
   finish(id, rpc, {.ending = harmless(rpc) ? Ending::unavailable : Ending::failed});
   rpc.gone = true;
-  events_.emplace_back(cranemux::Gone{std::to_string(id)});
+  events_.emplace_back(cranemux::ClientGone{std::to_string(id)});
   drop_if_over(id);
 }
 
@@ -227,7 +229,8 @@
       events_.erase(events_.begin(), end);
     }
     actions_.clear();
-    brain_.step(std::chrono::duration_cast<nanoseconds>(now.time_since_epoch()).count(), stepping_, actions_);
+    module_.step(std::chrono::duration_cast<nanoseconds>(now.time_since_epoch()).count(), stepping_,
+                 actions_);
     stepping_.clear();
     for (const auto& action : actions_) carry_out(action);
   }
@@ -295,8 +298,13 @@
     if (rpc) ++rpc->attempts;
     ++counters_.attempts_moot;
     logger_.log(metrics::Level::debug, "moot call attempt of rpc ", id);
-    return push(cranemux::Outcome{
-        send.request, rpc ? rpc->attempts - 1 : 0, cranemux::Result::moot, 0, !rpc || !rpc->channel, 0, {}});
+    return push(cranemux::Outcome{send.request,
+                                  rpc ? rpc->attempts - 1 : 0,
+                                  cranemux::Result::not_sent,
+                                  0,
+                                  !rpc || !rpc->channel,
+                                  0,
+                                  {}});
   }
   if (rpc->attempts == 0) {
     if (const auto use = use_.find(rpc->terms.customer); use != use_.end())
@@ -304,8 +312,8 @@
   }
   ++rpc->out;
   ++counters_.attempts_sent;
-  AttemptLimits limits{nanoseconds(send.patience)};
-  if (send.whole_by > 0) limits.whole_by = Clock::time_point(nanoseconds(send.whole_by));
+  AttemptLimits limits{nanoseconds(send.timeout)};
+  if (send.send_deadline > 0) limits.whole_by = Clock::time_point(nanoseconds(send.send_deadline));
   attempts_->start(id, rpc->attempts++, send.server, limits, rpc->payload);
 }
 
@@ -331,13 +339,13 @@
                  [&](const cranemux::SetTimer& a) {
                    timers_.emplace(Clock::time_point(nanoseconds(a.at)), a.token);
                  },
-                 [&](const cranemux::Tell& a) { peers_->tell(a.to, a.bytes); },
-                 [&](const cranemux::Elsewhere& a) {
+                 [&](const cranemux::SendToPeer& a) { peers_->tell(a.to, a.bytes); },
+                 [&](const cranemux::SpentElsewhere& a) {
                    if (spent_) spent_(a);
                  },
                  [&](const cranemux::Log& a) { logger_.log(metrics::Level::info, a.text); },
-                 [&](const cranemux::Watch&) {},  // the resolver always watches
-                 [&](const cranemux::Probe&) {},  // the module asks for none
+                 [&](const cranemux::WatchServers&) {},  // the resolver always watches
+                 [&](const cranemux::Probe&) {},         // the module asks for none
              },
              action);
 }
@@ -366,7 +374,7 @@
     case Result::cancelled:
       ++counters_.attempts_cancelled;
       break;
-    case Result::moot:
+    case Result::not_sent:
       ++counters_.attempts_moot;
       break;
   }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -118,7 +118,7 @@
   // A customer's store, as the module knows it here; none where it does not, or its plan has no rate.
   std::optional<cranemux::Allowance> allowance(const std::string& customer) const;
 
-  std::string guard_report() const;  // see Brain
+  std::string guard_report() const;  // see DecisionModule
 
   RpcId take(RpcTerms terms, std::shared_ptr<const Payload> payload, std::shared_ptr<Channel> channel);
   void uploaded(RpcId rpc);
@@ -130,10 +130,10 @@
   void leaving();  // the gatekeeper is about to end
   // Of a process that is replaced: what the next one must know, after which that one decides; and the other
   // way.
-  std::string hand_over(std::function<void(const cranemux::Elsewhere&)> spent);
+  std::string hand_over(std::function<void(const cranemux::SpentElsewhere&)> spent);
   void take_back();
   bool take_over(const std::string& state);  // before the first turn. False: it could not be used
-  void spent_elsewhere(const cranemux::Elsewhere& spent);
+  void spent_elsewhere(const cranemux::SpentElsewhere& spent);
   // Answers all that is left, as the process is about to end.
   void give_up();
   void turn();  // one step of the module, with all that has happened since the last
@@ -190,7 +190,7 @@
   CallAttempts* attempts_ = nullptr;
   Peers* peers_ = nullptr;
   Host* host_ = nullptr;
-  cranemux::Brain brain_;
+  cranemux::DecisionModule module_;
   std::vector<cranemux::Event> events_, stepping_;
   std::vector<cranemux::Action> actions_;
   std::multimap<Clock::time_point, std::uint64_t> timers_;
@@ -199,7 +199,7 @@
   std::map<std::string, Use> use_;
   RpcId last_id_ = 0;
   std::size_t unanswered_ = 0;
-  std::function<void(const cranemux::Elsewhere&)> spent_;  // told while another process serves
+  std::function<void(const cranemux::SpentElsewhere&)> spent_;  // told while another process serves
   bool turn_asked_ = false;
 };
 
--- a/src/decision_module.cpp
+++ b/src/decision_module.cpp
@@ -91,7 +91,7 @@
 
 }  // namespace
 
-class Brain::Impl {
+class DecisionModule::Impl {
  public:
   explicit Impl(const Settings& settings, const std::shared_ptr<Books>& books = nullptr)
       : s_(settings), random_(settings.seed), books_(books ? books : std::make_shared<Books>()) {
@@ -111,7 +111,7 @@
     return at == accounts_.end() ? std::nullopt : ledger::allowance_of(at->second, now);
   }
 
-  std::size_t avoided(Nanos now) const {
+  std::size_t unavailable_servers(Nanos now) const {
     return static_cast<std::size_t>(std::count_if(servers_.begin(), servers_.end(), [&](const Server& s) {
       return s.entry.state == ServerState::draining ||
              (s.entry.state == ServerState::running && s.ejected_until > now);
@@ -146,7 +146,7 @@
     for (const auto& event : events) std::visit([this](const auto& e) { on(e); }, event);
     if (freed_ && now_ < next_tick_) release_held();
     if (now_ >= next_tick_) tick();
-    mail().post(time(), [this](int to, std::string bytes) { act(Tell{to, std::move(bytes)}); });
+    mail().post(time(), [this](int to, std::string bytes) { act(SendToPeer{to, std::move(bytes)}); });
     wake();
   }
 
@@ -180,7 +180,7 @@
     a.hash = ledger::hash_of(request.customer);
     a.first = std::clamp(request.first, 0, s_.gateways - 1);
     a.spread = std::clamp(request.spread, 1, s_.gateways);
-    if (!s_.guarded && s_.keepers == 0)
+    if (!s_.guarded && s_.dedicated_leaders == 0)
       a.parts = ledger::parts_of(a.plan->rate, a.plan->burst, s_.most_units,
                                  ledger::kMailShare * s_.peer_messages_per_s, a.spread);
     a.part = s_.index % a.parts;
@@ -193,7 +193,7 @@
     const double refilled = a.plan->rate > 0 ? a.plan->burst / a.plan->rate * kSecond : 0;
     if (static_cast<double>(now_ - started_at_) >= refilled) a.answered = now_;
     fill(a);
-    if (s_.keepers > 0) books_->meet(a, 2 * s_.most_units, time());
+    if (s_.dedicated_leaders > 0) books_->meet(a, 2 * s_.most_units, time());
   }
 
   // A gateway that hears none of the others spends its even share alone.
@@ -270,7 +270,7 @@
   }
 
   void spend(Account& a, double units) {
-    if (away_) act(Elsewhere{a.hash, units, false});
+    if (away_) act(SpentElsewhere{a.hash, units, false});
     a.ceiling -= units;
     if (guarded(a) && !a.spender.spend(a.total, units, part(a.plan->rate), part(a.plan->burst), time()))
       return;
@@ -299,7 +299,7 @@
       if (c.name == request.klass) job.klass = &c;
     }
     job.arrived = now_;
-    if (s_.keepers > 0) job.lot = drawn();
+    if (s_.dedicated_leaders > 0) job.lot = drawn();
     job.goal = job.deadline = now_ + kUploadMost;
     if (!request.uploading) begin(job);
     const auto hold = static_cast<Nanos>(kHoldOfAim * static_cast<double>(job.klass->aim));
@@ -512,7 +512,7 @@
     const auto& plan = plans_[entry.plan];
     const auto parts = static_cast<std::uint32_t>(of_parts);
     return ledgers().open({entry.customer, entry.plan, plan.rate / parts, plan.burst / parts, debt_of(plan),
-                           0, parts, s_.keepers > 0},
+                           0, parts, s_.dedicated_leaders > 0},
                           time());
   }
 
@@ -534,7 +534,8 @@
       ledger.level = std::min(ledger.level, ledger::level_told(ledger.burst, request.level));
     }
     if (!ledger.merge(from, ask, time())) return;
-    const bool told = ask.report && (s_.keepers == 0 || (ask.share < ledger::kAll) != ledger.throttle.on());
+    const bool told =
+        ask.report && (s_.dedicated_leaders == 0 || (ask.share < ledger::kAll) != ledger.throttle.on());
     share_out(ledger, ask.report ? -1 : from, told ? from : -1);
   }
 
@@ -557,7 +558,7 @@
     }
     if (asker >= 0) grant(ledger, asker);
     if (s_.guarded || plan.rate <= 0) return;
-    if (s_.keepers > 0) {
+    if (s_.dedicated_leaders > 0) {
       const auto share = ledger.throttle.look(ledger.level, ledger.rate, ledger.burst, time());
       if (share) return mail().tell({ledger.plan, ledger.customer, *share});
       if (told >= 0) mail().tell(told, {ledger.plan, ledger.customer, ledger.throttle.said()});
@@ -613,12 +614,12 @@
   // ---- server choice and health -----------------------------------------------------------------
 
   void on(const ServerList& list) {
-    if (list.scope == ListScope::failed && s_.list_on_request) act(Watch{});
+    if (list.scope == ListScope::failed && s_.list_on_request) act(WatchServers{});
     if (list.scope == ListScope::full || list.scope == ListScope::stored) {
-      for (auto& server : servers_) server.entry.state = ServerState::gone;
+      for (auto& server : servers_) server.entry.state = ServerState::removed;
     }
     for (const auto& entry : list.servers) {
-      if (entry.state == ServerState::gone && !by_id_.contains(entry.id)) continue;
+      if (entry.state == ServerState::removed && !by_id_.contains(entry.id)) continue;
       const auto [at, fresh] = by_id_.try_emplace(entry.id, -1);
       if (fresh) at->second = place_for_server();
       auto& server = servers_[static_cast<std::size_t>(at->second)];
@@ -636,7 +637,7 @@
   // A server that went so long ago that no attempt and no request remembers it leaves its place to a new one.
   int place_for_server() {
     const auto old = std::find_if(servers_.begin(), servers_.end(), [&](const Server& s) {
-      return s.entry.state == ServerState::gone && s.open == 0 && now_ - s.listed > kForget;
+      return s.entry.state == ServerState::removed && s.open == 0 && now_ - s.listed > kForget;
     });
     if (old == servers_.end()) {
       servers_.emplace_back();
@@ -777,7 +778,7 @@
     if (!attempt.out) return;
     attempt.out = false;
     attempt.may_have_run = outcome.result != Result::full && outcome.result != Result::connect_failed &&
-                           outcome.result != Result::moot;
+                           outcome.result != Result::not_sent;
     job.out -= 1;
     auto& server = servers_[static_cast<std::size_t>(attempt.server)];
     server.open -= 1;
@@ -799,7 +800,7 @@
   }
 
   void settle(Account& a, double difference) {
-    if (away_) act(Elsewhere{a.hash, difference, true});
+    if (away_) act(SpentElsewhere{a.hash, difference, true});
     fill(a);
     a.total = std::max<std::int64_t>(0, a.total + std::llround(difference));
     a.limit += std::llround(difference);
@@ -852,7 +853,7 @@
     finished_.clear();
   }
 
-  void on(const Gone& gone) {
+  void on(const ClientGone& gone) {
     const auto at = jobs_.find(gone.request);
     if (at != jobs_.end() && !at->second.done) close(at->second);
   }
@@ -896,20 +897,23 @@
     if (!books_->mail) open_books();
     next_split_ = (now_ / kSubperiod + 1) * kSubperiod;
     last_tick_ = refilled_ = now_;
-    if (s_.list_on_request) act(Watch{});
+    if (s_.list_on_request) act(WatchServers{});
   }
 
   void open_books() {
     started_at_ = now_;
     books_->next_split = (now_ / kSubperiod + 1) * kSubperiod;
-    const double rate = ledger::messages_of(s_.peer_messages_per_s, s_.index, s_.gateways, s_.keepers);
+    const double rate =
+        ledger::messages_of(s_.peer_messages_per_s, s_.index, s_.gateways, s_.dedicated_leaders);
     const auto life = static_cast<std::uint16_t>(life_);
     books_->mail = std::make_unique<ledger::Mail>(
         ledger::MailTerms{s_.gateways, s_.index, life, s_.message_bytes, rate, ledger::kMailBurst, s_.peers,
-                          s_.guarded, s_.seed, s_.keepers},
+                          s_.guarded, s_.seed, s_.dedicated_leaders},
         time());
-    books_->leaders = std::make_unique<ledger::Leaders>(
-        ledger::LeaderTerms{s_.gateways, s_.index, s_.keepers, s_.guarded, ledger::Time(kSubperiod)}, time());
+    books_->leaders =
+        std::make_unique<ledger::Leaders>(ledger::LeaderTerms{s_.gateways, s_.index, s_.dedicated_leaders,
+                                                              s_.guarded, ledger::Time(kSubperiod)},
+                                          time());
     books_->ledgers = std::make_unique<ledger::Ledgers>(mail().rights());
   }
 
@@ -926,9 +930,9 @@
       mail().write(to, {h.plan, h.customer, ledger::Transfer{h.level, h.number}});
     });
   }
-  void on(const Leaving&) { ends_ = true; }
-  void on(const HandedOver& handed) { away_ = handed.away; }
-  void on(const Elsewhere& e) {
+  void on(const ShuttingDown&) { ends_ = true; }
+  void on(const HandedOver& handed) { away_ = handed.active_elsewhere; }
+  void on(const SpentElsewhere& e) {
     const auto a = accounts_.find(e.customer);
     if (a == accounts_.end() || !a->second.plan) return;
     fill(a->second);
@@ -1014,22 +1018,22 @@
   std::vector<std::string> held_, finished_;
 };
 
-Brain::Brain(const Settings& settings) : impl_(std::make_unique<Impl>(settings)) {}
-Brain::Brain(const Settings& settings, const Brain& shares)
+DecisionModule::DecisionModule(const Settings& settings) : impl_(std::make_unique<Impl>(settings)) {}
+DecisionModule::DecisionModule(const Settings& settings, const DecisionModule& shares)
     : impl_(std::make_unique<Impl>(settings, shares.impl_->books())) {}
-Brain::~Brain() = default;
-Brain::Brain(Brain&&) noexcept = default;
-Brain& Brain::operator=(Brain&&) noexcept = default;
-std::optional<Allowance> Brain::allowance(Nanos now, const std::string& customer) const {
+DecisionModule::~DecisionModule() = default;
+DecisionModule::DecisionModule(DecisionModule&&) noexcept = default;
+DecisionModule& DecisionModule::operator=(DecisionModule&&) noexcept = default;
+std::optional<Allowance> DecisionModule::allowance(Nanos now, const std::string& customer) const {
   return impl_->allowance(now, customer);
 }
-std::string Brain::save() const { return impl_->save(); }
-bool Brain::restore(Nanos now, const std::string& state, std::vector<Action>& actions) {
+std::string DecisionModule::save() const { return impl_->save(); }
+bool DecisionModule::restore(Nanos now, const std::string& state, std::vector<Action>& actions) {
   return impl_->restore(now, state, actions);
 }
-std::size_t Brain::avoided(Nanos now) const { return impl_->avoided(now); }
-std::string Brain::guard_report(Nanos now) const { return impl_->guard_report(now); }
-void Brain::step(Nanos now, const std::vector<Event>& events, std::vector<Action>& actions) {
+std::size_t DecisionModule::unavailable_servers(Nanos now) const { return impl_->unavailable_servers(now); }
+std::string DecisionModule::guard_report(Nanos now) const { return impl_->guard_report(now); }
+void DecisionModule::step(Nanos now, const std::vector<Event>& events, std::vector<Action>& actions) {
   impl_->step(now, events, actions);
 }
 
--- a/src/front/fields.cpp
+++ b/src/front/fields.cpp
@@ -126,8 +126,8 @@
   };
   return "RateLimit-Policy: " + name + ";q=" + whole(store.burst) +
          ";w=" + whole(std::ceil(store.burst / store.rate)) + "\r\nRateLimit: " + name +
-         ";r=" + whole(store.level + 0.05) +
-         ";t=" + whole(std::ceil((store.burst - store.level) / store.rate)) + "\r\n";
+         ";r=" + whole(store.tokens + 0.05) +
+         ";t=" + whole(std::ceil((store.burst - store.tokens) / store.rate)) + "\r\n";
 }
 
 }  // namespace cranemux::front
--- a/src/front/graphql/exchange.cpp
+++ b/src/front/graphql/exchange.cpp
@@ -61,7 +61,8 @@
   json::Object members{{"requested", number(requested)}};
   if (actual) members.emplace_back("actual", number(*actual));
   if (store) {
-    members.emplace_back("level", number(std::round(store->level * 10) / 10));  // told in 100ths of the burst
+    members.emplace_back("level",
+                         number(std::round(store->tokens * 10) / 10));  // told in 100ths of the burst
     members.emplace_back("rate", number(store->rate));
     members.emplace_back("burst", number(store->burst));
   }
@@ -184,8 +185,8 @@
 std::string GraphqlExchange::body_with_cost(json::Value&& answer, const std::vector<double>& costs) const {
   // The difference is settled after this: what the store holds then is told.
   auto store = store_();
-  for (std::size_t i = 0; store && i < costs.size(); ++i) store->level += admitted_[i].units - costs[i];
-  if (store) store->level = std::min(store->level, store->burst);
+  for (std::size_t i = 0; store && i < costs.size(); ++i) store->tokens += admitted_[i].units - costs[i];
+  if (store) store->tokens = std::min(store->tokens, store->burst);
   for (std::size_t i = 0; i < costs.size(); ++i) {
     auto& one = batch_ ? std::get<json::Array>(answer.data)[i] : answer;
     add_cost(one, cost_value(admitted_[i].units, costs[i], store));
--- a/src/gatekeeper_handover.cpp
+++ b/src/gatekeeper_handover.cpp
@@ -72,7 +72,7 @@
   auto& pool = the_pool();
   listener.channels->pause(true);
   handover::State state;
-  state.module = pool.core().hand_over([this](const cranemux::Elsewhere& e) {
+  state.module = pool.core().hand_over([this](const cranemux::SpentElsewhere& e) {
     giver_->tell({e.customer, e.units, e.settled});
   });
   peers_.mute(true);
--- a/src/handover/module_state.cpp
+++ b/src/handover/module_state.cpp
@@ -31,7 +31,7 @@
   }
   for (const auto& server : s.servers) {
     good = good && fits(server.excess) && fits(server.window) && server.window > 0 &&
-           fits(server.cold_tokens) && server.entry.state <= ServerState::gone;
+           fits(server.cold_tokens) && server.entry.state <= ServerState::removed;
   }
   return good;
 }
--- a/src/ledger/quota_state.h
+++ b/src/ledger/quota_state.h
@@ -13,7 +13,7 @@
 
 namespace cranemux::ledger {
 
-// Quotas and the mail about them: of one Brain, or of several in a process that hold them together.
+// Quotas and the mail about them: of one DecisionModule, or of several in a process that hold them together.
 struct Books {
   std::vector<PlanSettings> plans;
   std::uint32_t life = 0;
--- a/src/resolver/resolver.cpp
+++ b/src/resolver/resolver.cpp
@@ -13,7 +13,7 @@
 
 cranemux::ServerState state_of(const std::string& text) {
   if (text == "active") return cranemux::ServerState::running;
-  return text == "leaving" ? cranemux::ServerState::draining : cranemux::ServerState::gone;
+  return text == "leaving" ? cranemux::ServerState::draining : cranemux::ServerState::removed;
 }
 
 }  // namespace
--- a/testing/small_tier.h
+++ b/testing/small_tier.h
@@ -27,7 +27,7 @@
       : aside_(aside), plans_(std::move(plans)), guarded_(guarded) {
     for (int i = 0; i < gatekeepers + aside; ++i) start(i, gatekeepers + aside);
   }
-  int members() const { return static_cast<int>(brains_.size()); }
+  int members() const { return static_cast<int>(modules_.size()); }
   int keeper(const std::string& customer) const {
     return ledger::keeper_at(ledger::hash_of(customer), 0, 0, 0, members() - aside_, members(), aside_);
   }
@@ -35,7 +35,7 @@
     Settings s;
     s.seed = 7 + static_cast<std::uint64_t>(i) + 100 * ++lives_;
     s.gateways = members;
-    s.keepers = aside_;
+    s.dedicated_leaders = aside_;
     s.guarded = guarded_;
     s.index = i;
     s.zone = "here";
@@ -45,7 +45,7 @@
     s.peer_messages_per_s = guarded_ ? 200 : 60;
     s.max_attempts = 1;
     const auto at = static_cast<std::size_t>(i);
-    at < brains_.size() ? void(brains_[at] = Brain(s)) : void(brains_.emplace_back(s));
+    at < modules_.size() ? void(modules_[at] = DecisionModule(s)) : void(modules_.emplace_back(s));
     feed(i, {servers(ServerState::running)});
   }
   // All nodes serve, or none takes anything; as one member sees it.
@@ -102,10 +102,10 @@
   }
   void feed(int at, const std::vector<Event>& events) {
     std::vector<Action> actions;
-    brains_[static_cast<std::size_t>(at)].step(now, events, actions);
+    modules_[static_cast<std::size_t>(at)].step(now, events, actions);
     for (const auto& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) timers_[at] = timer->at;
-      if (const auto* tell = std::get_if<Tell>(&action)) {
+      if (const auto* tell = std::get_if<SendToPeer>(&action)) {
         ++told[at];
         mail_.push_back({at, tell->to, tell->bytes});
       }
@@ -153,7 +153,7 @@
   const int aside_;
   const std::vector<PlanSettings> plans_;
   const bool guarded_;
-  std::vector<Brain> brains_;
+  std::vector<DecisionModule> modules_;
   std::uint64_t lives_ = 0;
   int ids_ = 0;
   double due_ = 0;
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -50,7 +50,7 @@
     std::vector<ServerEntry> changes;
     for (int i = 0; i < case_.replaced; ++i) {
       auto old = entry("old" + std::to_string(i));
-      old.state = ServerState::gone;
+      old.state = ServerState::removed;
       changes.push_back(old);
       servers_.erase(old.id);
       changes.push_back(add("new" + std::to_string(i), now_));
@@ -120,8 +120,8 @@
 
   void start(int g) {
     const auto at = static_cast<std::size_t>(g);
-    if (brains_.size() <= at) brains_.resize(at + 1), lives_.resize(at + 1), timers_.resize(at + 1);
-    brains_[at] = std::make_unique<Brain>(settings(g));
+    if (modules_.size() <= at) modules_.resize(at + 1), lives_.resize(at + 1), timers_.resize(at + 1);
+    modules_[at] = std::make_unique<DecisionModule>(settings(g));
     ++lives_[at];
     timers_[at] = 0;
     ServerList list{ListScope::stored, {}};
@@ -132,7 +132,7 @@
   void feed(int g, const std::vector<Event>& events) {
     const auto at = static_cast<std::size_t>(g);
     std::vector<Action> actions;
-    brains_[at]->step(now_, events, actions);
+    modules_[at]->step(now_, events, actions);
     for (const auto& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) timers_[at] = timer->at;
       if (const auto* send = std::get_if<Send>(&action)) sent(g, *send);
@@ -150,7 +150,7 @@
     Outcome outcome;
     outcome.request = send.request;
     outcome.attempt = attempts_[{g, send.request}]++;
-    const auto given_up = now_ + send.patience;
+    const auto given_up = now_ + send.timeout;
     outcome.result = server.free <= given_up ? Result::ok : Result::timeout;
     outcome.finished = outcome.result == Result::ok;
     outcome.took = std::min(server.free, given_up) - now_;
@@ -192,7 +192,7 @@
   std::mt19937_64 random_;
   Nanos now_ = kBegin;
   std::map<std::string, Server> servers_;
-  std::vector<std::unique_ptr<Brain>> brains_;
+  std::vector<std::unique_ptr<DecisionModule>> modules_;
   std::vector<int> lives_;
   std::vector<Nanos> timers_;
   std::priority_queue<Later> later_;
--- a/tests/decision_module_test.cpp
+++ b/tests/decision_module_test.cpp
@@ -48,18 +48,18 @@
 class Door {
  public:
   explicit Door(Settings settings, std::vector<ServerEntry> servers = {server("a"), server("b"), server("c")})
-      : settings_(settings), brain_(settings) {
+      : settings_(settings), module_(settings) {
     feed({ServerList{ListScope::stored, std::move(servers)}});
   }
 
   std::vector<Action> feed(const std::vector<Event>& events) {
     std::vector<Action> actions;
-    brain_.step(now, events, actions);
+    module_.step(now, events, actions);
     for (const auto& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) sends.push_back(*send);
       if (const auto* refuse = std::get_if<Refuse>(&action)) refused.insert(refuse->request);
       if (const auto* fail = std::get_if<Fail>(&action)) failed.insert(fail->request);
-      if (const auto* tell = std::get_if<Tell>(&action)) told.push_back(*tell);
+      if (const auto* tell = std::get_if<SendToPeer>(&action)) told.push_back(*tell);
       if (const auto* timer = std::get_if<SetTimer>(&action)) timer_at = timer->at;
     }
     return actions;
@@ -99,12 +99,12 @@
   Nanos timer_at = 0;
   std::vector<Send> sends;
   std::size_t done = 0;  // sends that have had their outcome
-  std::vector<Tell> told;
+  std::vector<SendToPeer> told;
   std::set<std::string> refused, failed;
 
  private:
   Settings settings_;
-  Brain brain_;
+  DecisionModule module_;
 };
 
 // Lets two doors exchange all they tell each other.
@@ -137,10 +137,10 @@
 TEST(Settings, SenselessOnesAreRefused) {
   auto s = base_settings();
   s.index = 2;
-  EXPECT_THROW(Brain{s}, std::invalid_argument);
+  EXPECT_THROW(DecisionModule{s}, std::invalid_argument);
   s = base_settings();
   s.classes.clear();
-  EXPECT_THROW(Brain{s}, std::invalid_argument);
+  EXPECT_THROW(DecisionModule{s}, std::invalid_argument);
 }
 
 TEST(Ledger, AGatewayThatHearsNoneSpendsItsEvenShare) {
@@ -693,7 +693,7 @@
     for (const auto next = door.now + 700 * kMs; door.now < next;) {
       for (; door.done < door.sends.size(); ++door.done) {
         const auto& send = door.sends[door.done];
-        const auto took = std::min(static_cast<Nanos>(time(random) * aim), send.patience);
+        const auto took = std::min(static_cast<Nanos>(time(random) * aim), send.timeout);
         out.insert({door.now + took, {send.request, took}});
         begun.insert(send.request);
       }
@@ -855,17 +855,17 @@
   door.run(door.now + 500 * kMs);
   door.feed({door.request("x", "rate", "hold")});
   ASSERT_EQ(door.sends.size(), 1U);
-  EXPECT_EQ(door.sends[0].whole_by, 0);
+  EXPECT_EQ(door.sends[0].send_deadline, 0);
   door.run(door.now + 20 * kMs);
   door.feed({door.outcome("x", Result::connect_failed)});
   ASSERT_EQ(door.sends.size(), 2U);
-  EXPECT_EQ(door.sends[1].whole_by, 0);
+  EXPECT_EQ(door.sends[1].send_deadline, 0);
   const auto first = door.now;
   door.run(door.now + 30 * kMs);
   door.feed({door.outcome("x", Result::reset, 1)});
   ASSERT_EQ(door.sends.size(), 3U);
-  EXPECT_GT(door.sends[2].whole_by, door.now);
-  EXPECT_LE(door.sends[2].whole_by, first + kSecond);
+  EXPECT_GT(door.sends[2].send_deadline, door.now);
+  EXPECT_LE(door.sends[2].send_deadline, first + kSecond);
 }
 
 // Settings may give a shorter window than the deadline: then what may have run fails.
@@ -888,7 +888,7 @@
   auto gone = server("b");
   gone.state = ServerState::draining;
   auto removed = server("c");
-  removed.state = ServerState::gone;
+  removed.state = ServerState::removed;
   door.feed({ServerList{ListScope::changes, {gone, removed}}});
   for (int i = 0; i < 3; ++i) door.feed({door.request("r" + std::to_string(i), "rate")});
   ASSERT_EQ(door.sends.size(), 3U);
@@ -1099,7 +1099,7 @@
       std::vector<Event> events{request};
       if (i % 20 == 0) {
         auto left = server("s" + std::to_string(i / 20 - 2));
-        left.state = ServerState::gone;
+        left.state = ServerState::removed;
         events.push_back(ServerList{ListScope::changes, {left, server("s" + std::to_string(i / 20))}});
       }
       door.feed(events);
@@ -1121,8 +1121,8 @@
 TEST(Events, UnknownOnesAreIgnored) {
   Door door(base_settings());
   const auto actions =
-      door.feed({door.outcome("nobody", Result::ok), Gone{"nobody"}, Timer{123}, FirstByte{"nobody", 4},
-                 Probed{"nobody", Result::ok, 1, {}}, Counted{1, true, 3}});
+      door.feed({door.outcome("nobody", Result::ok), ClientGone{"nobody"}, Timer{123}, FirstByte{"nobody", 4},
+                 ProbeResult{"nobody", Result::ok, 1, {}}, CounterResult{1, true, 3}});
   EXPECT_TRUE(actions.empty());
 }
 
--- a/tests/handover_state_test.cpp
+++ b/tests/handover_state_test.cpp
@@ -76,10 +76,10 @@
 }
 
 struct Play {
-  explicit Play(const Settings& s) : brain(s) {}
+  explicit Play(const Settings& s) : decision_module(s) {}
   std::vector<Action> step(Nanos now, std::vector<Event> events) {
     std::vector<Action> actions;
-    brain.step(now, events, actions);
+    decision_module.step(now, events, actions);
     return actions;
   }
   static ServerList list() {
@@ -96,7 +96,7 @@
     return static_cast<std::size_t>(std::count_if(
         actions.begin(), actions.end(), [](const auto& a) { return std::holds_alternative<Send>(a); }));
   }
-  Brain brain;
+  DecisionModule decision_module;
 };
 
 Request request(const std::string& id, double units = 1) {
@@ -117,12 +117,12 @@
   Play old(s);
   old.step(10 * kSecond, {Play::list()});
   EXPECT_EQ(Play::sends(old.step(10 * kSecond + kMs, {request("1", 4)})), 1U);
-  const auto state = old.brain.save();
+  const auto state = old.decision_module.save();
   const auto allowance_after = [&](const Settings& next) {
     Play play(next);
     std::vector<Action> actions;
-    EXPECT_TRUE(play.brain.restore(10 * kSecond + 2 * kMs, state, actions));
-    return play.brain.allowance(10 * kSecond + 3 * kMs, "c");
+    EXPECT_TRUE(play.decision_module.restore(10 * kSecond + 2 * kMs, state, actions));
+    return play.decision_module.allowance(10 * kSecond + 3 * kMs, "c");
   };
   ASSERT_TRUE(allowance_after(s));
   EXPECT_EQ(allowance_after(s)->rate, 1);
@@ -131,7 +131,7 @@
   ASSERT_TRUE(swapped);
   EXPECT_EQ(swapped->rate, 1);
   EXPECT_EQ(swapped->burst, 4);
-  EXPECT_LT(swapped->level, 1);
+  EXPECT_LT(swapped->tokens, 1);
   std::swap(s.plans[0].name, s.plans[1].name);  // `corner` has the other's figures now
   EXPECT_FALSE(allowance_after(s));
   s.plans.pop_back();
@@ -144,7 +144,7 @@
   EXPECT_EQ(Play::sends(old.step(10 * kSecond + kMs, {request("1", 4)})), 1U);
   Play next(settings());
   std::vector<Action> actions;
-  ASSERT_TRUE(next.brain.restore(10 * kSecond + 2 * kMs, old.brain.save(), actions));
+  ASSERT_TRUE(next.decision_module.restore(10 * kSecond + 2 * kMs, old.decision_module.save(), actions));
   EXPECT_EQ(Play::sends(next.step(10 * kSecond + 3 * kMs, {Play::list(), request("2", 4)})), 0U);
   Play fresh(settings());  // and would not be without it
   EXPECT_EQ(Play::sends(fresh.step(10 * kSecond + 3 * kMs, {Play::list(), request("2", 4)})), 1U);
@@ -156,25 +156,25 @@
   old.step(10 * kSecond, {Play::list(), request("0", 1)});
   Play next(settings());
   std::vector<Action> actions;
-  ASSERT_TRUE(next.brain.restore(10 * kSecond + kMs, old.brain.save(), actions));
+  ASSERT_TRUE(next.decision_module.restore(10 * kSecond + kMs, old.decision_module.save(), actions));
   const auto said = old.step(10 * kSecond + 2 * kMs, {HandedOver{true}, request("1", 3)});
   const auto at = std::find_if(said.begin(), said.end(),
-                               [](const auto& a) { return std::holds_alternative<Elsewhere>(a); });
+                               [](const auto& a) { return std::holds_alternative<SpentElsewhere>(a); });
   ASSERT_NE(at, said.end());
-  const auto spent = std::get<Elsewhere>(*at);
+  const auto spent = std::get<SpentElsewhere>(*at);
   EXPECT_EQ(spent.units, 3);
   EXPECT_EQ(Play::sends(next.step(10 * kSecond + 3 * kMs, {Play::list(), spent, request("2", 3)})), 0U);
   // Taken back, it keeps it to itself again.
   const auto later = old.step(15 * kSecond, {HandedOver{false}, request("3", 1)});
   EXPECT_TRUE(std::none_of(later.begin(), later.end(),
-                           [](const auto& a) { return std::holds_alternative<Elsewhere>(a); }));
+                           [](const auto& a) { return std::holds_alternative<SpentElsewhere>(a); }));
 }
 
 // A server that has failed stays avoided, and one that is cold gets no second start.
 TEST(handover_module, servers_are_known) {
   Play old(settings());
   old.step(10 * kSecond, {Play::list()});
-  for (int i = 0; i < 8 && old.brain.avoided(10 * kSecond + 50 * kMs) == 0; ++i) {
+  for (int i = 0; i < 8 && old.decision_module.unavailable_servers(10 * kSecond + 50 * kMs) == 0; ++i) {
     auto ask = request("r" + std::to_string(i));
     ask.plan = "open";
     ask.customer = "d";
@@ -188,30 +188,30 @@
     }
   }
   const auto now = 10 * kSecond + 50 * kMs;
-  ASSERT_GT(old.brain.avoided(now), 0U);
+  ASSERT_GT(old.decision_module.unavailable_servers(now), 0U);
   Play next(settings());
   std::vector<Action> actions;
-  ASSERT_TRUE(next.brain.restore(now, old.brain.save(), actions));
+  ASSERT_TRUE(next.decision_module.restore(now, old.decision_module.save(), actions));
   next.step(now, {Play::list()});
-  EXPECT_EQ(next.brain.avoided(now), old.brain.avoided(now));
+  EXPECT_EQ(next.decision_module.unavailable_servers(now), old.decision_module.unavailable_servers(now));
 }
 
 TEST(handover_module, what_makes_no_sense_changes_nothing) {
   Play old(settings());
   old.step(10 * kSecond, {Play::list(), request("1", 4)});
-  const auto bytes = old.brain.save();
+  const auto bytes = old.decision_module.save();
   std::vector<Action> actions;
   for (std::size_t size = 0; size < bytes.size(); size += 7) {
-    EXPECT_FALSE(Brain(settings()).restore(10 * kSecond, bytes.substr(0, size), actions));
+    EXPECT_FALSE(DecisionModule(settings()).restore(10 * kSecond, bytes.substr(0, size), actions));
   }
   auto other = settings();
   other.gateways = 3;  // another tier
-  EXPECT_FALSE(Brain(other).restore(10 * kSecond, bytes, actions));
-  EXPECT_FALSE(Brain(settings()).restore(5 * kSecond, bytes, actions));  // of a clock that is ahead
+  EXPECT_FALSE(DecisionModule(other).restore(10 * kSecond, bytes, actions));
+  EXPECT_FALSE(DecisionModule(settings()).restore(5 * kSecond, bytes, actions));  // of a clock that is ahead
   auto guarded = settings();
   guarded.guarded = true;  // has a way of its own
-  EXPECT_FALSE(Brain(guarded).restore(10 * kSecond, bytes, actions));
-  EXPECT_TRUE(Brain(settings()).restore(10 * kSecond, bytes, actions));
+  EXPECT_FALSE(DecisionModule(guarded).restore(10 * kSecond, bytes, actions));
+  EXPECT_TRUE(DecisionModule(settings()).restore(10 * kSecond, bytes, actions));
   // Any bytes: it reads them to an end, and what it takes up lets it go on.
   std::uint32_t random = 1;
   for (int i = 0; i < 2000; ++i) {
@@ -221,7 +221,7 @@
       damaged[(random >> 8U) % damaged.size()] = static_cast<char>(random >> 3U);
     }
     Play next(settings());
-    if (next.brain.restore(10 * kSecond, damaged, actions))
+    if (next.decision_module.restore(10 * kSecond, damaged, actions))
       next.step(10 * kSecond + kMs, {Play::list(), request("2", 1)});
   }
 }
--- a/tests/limits_property_test.cpp
+++ b/tests/limits_property_test.cpp
@@ -33,7 +33,7 @@
 
 class Tier {
  public:
-  explicit Tier(const Traits& t) : t_(t), random_(t.seed), brains_(static_cast<std::size_t>(t.gateways)) {
+  explicit Tier(const Traits& t) : t_(t), random_(t.seed), modules_(static_cast<std::size_t>(t.gateways)) {
     plan_ = {"plan", t.rate, t.burst, t.open_limit, t.rate * t.ceiling, t.burst * t.ceiling, 4, 1, 0, 0.8};
     store_ = plan_.ceiling_burst;
     for (int g = 0; g < t.gateways; ++g) restart(g);
@@ -53,8 +53,8 @@
     s.cancel = true;
     s.max_attempts = 3;
     std::erase_if(out_, [&](const auto& item) { return item.second.gateway == g; });
-    auto& brain = brains_[static_cast<std::size_t>(g)];
-    brain = std::make_unique<Brain>(s);
+    auto& decision_module = modules_[static_cast<std::size_t>(g)];
+    decision_module = std::make_unique<DecisionModule>(s);
     ServerList list{ListScope::stored, {}};
     for (const auto* name : {"a", "b", "c", "d"})
       list.servers.push_back({name, "z", 0, ServerState::running, 1, 0});
@@ -104,9 +104,9 @@
 
   void feed(int g, const std::vector<Event>& events) {
     std::vector<Action> actions;
-    brains_[static_cast<std::size_t>(g)]->step(now_, events, actions);
+    modules_[static_cast<std::size_t>(g)]->step(now_, events, actions);
     for (const auto& action : actions) {
-      if (const auto* tell = std::get_if<Tell>(&action)) mail_.push_back({tell->to, g, tell->bytes});
+      if (const auto* tell = std::get_if<SendToPeer>(&action)) mail_.push_back({tell->to, g, tell->bytes});
       const auto* send = std::get_if<Send>(&action);
       if (!send) continue;
       const int attempt = attempts_[send->request]++;
@@ -129,7 +129,7 @@
   std::mt19937_64 random_;
   PlanSettings plan_;
   Nanos now_ = 100 * kSecond;
-  std::vector<std::unique_ptr<Brain>> brains_;
+  std::vector<std::unique_ptr<DecisionModule>> modules_;
   std::vector<Letter> mail_;
   std::map<std::pair<std::string, int>, Out> out_;
   std::map<std::string, double> units_;
@@ -170,7 +170,7 @@
   s.cancel = true;
   s.second_copies = *rc::gen::arbitrary<bool>();
   s.max_attempts = *rc::gen::inRange(1, 6);
-  Brain brain(s);
+  DecisionModule decision_module(s);
   struct Where {
     std::string zone;
     int cell;
@@ -192,7 +192,7 @@
   Nanos now = 100 * kSecond;
   const auto feed = [&](const std::vector<Event>& events) {
     std::vector<Action> actions;
-    brain.step(now, events, actions);
+    decision_module.step(now, events, actions);
     for (const auto& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) {
         RC_ASSERT(!over.contains(send->request));
@@ -203,7 +203,7 @@
           RC_ASSERT(repeat != Repeat::unsafe);
           if (repeat == Repeat::safe) continue;
           RC_ASSERT(now < attempt.sent + window);
-          RC_ASSERT(send->whole_by > now && send->whole_by <= attempt.sent + window);
+          RC_ASSERT(send->send_deadline > now && send->send_deadline <= attempt.sent + window);
           const auto &a = where.at(attempt.server), &b = where.at(send->server);
           RC_ASSERT(scope == RepeatScope::all || a.zone == b.zone);
           RC_ASSERT(scope != RepeatScope::cell || a.cell == b.cell);
@@ -237,10 +237,10 @@
         outcome.attempt = static_cast<int>(n);
         outcome.took = now - all[n].sent;
         outcome.result = *rc::gen::element(Result::ok, Result::reset, Result::error, Result::full,
-                                           Result::timeout, Result::connect_failed, Result::moot);
+                                           Result::timeout, Result::connect_failed, Result::not_sent);
         all[n].out = false;
         all[n].may_have_run = outcome.result != Result::full && outcome.result != Result::connect_failed &&
-                              outcome.result != Result::moot;
+                              outcome.result != Result::not_sent;
         outcome.finished = outcome.result == Result::ok || over.contains(id);
         if (outcome.result == Result::ok) over.insert(id);
         feed({outcome});
--- a/tests/optimistic_lease_test.cpp
+++ b/tests/optimistic_lease_test.cpp
@@ -139,7 +139,7 @@
       s.peers = true;
       s.peer_messages_per_s = 60;
       s.max_attempts = 1;
-      brains.emplace_back(s);
+      modules.emplace_back(s);
       feed(i, {ServerList{ListScope::stored, {{"a", "here", 0, ServerState::running, 1, 0}}}});
     }
     // One that the second keeps.
@@ -161,10 +161,10 @@
   }
   void feed(int at, const std::vector<Event>& events) {
     std::vector<Action> actions;
-    brains[static_cast<std::size_t>(at)].step(now, events, actions);
+    modules[static_cast<std::size_t>(at)].step(now, events, actions);
     for (const auto& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) timers[at] = timer->at;
-      if (const auto* tell = std::get_if<Tell>(&action)) {
+      if (const auto* tell = std::get_if<SendToPeer>(&action)) {
         ++told[at];
         mail.push_back({tell->to, tell->bytes});
       }
@@ -188,7 +188,7 @@
       }
     }
   }
-  std::vector<Brain> brains;
+  std::vector<DecisionModule> modules;
   std::string customer;
   Nanos now = 100'000 * kMs;
   int ids = 0;
@@ -211,8 +211,8 @@
   pair.play(1500 * kMs);
   EXPECT_EQ(pair.told[0], told + 1);  // all five in one
   // The keeper knows: of 40 units and what has filled since, so much less the five.
-  const auto level = pair.brains[1].allowance(pair.now, pair.customer);
-  EXPECT_LE(level ? level->level : 40, 40);
+  const auto level = pair.modules[1].allowance(pair.now, pair.customer);
+  EXPECT_LE(level ? level->tokens : 40, 40);
 }
 
 TEST(Standing, WhoeverSpendsFirstIsToldWhenTheStoreRunsLow) {
--- a/tests/services_config_test.cpp
+++ b/tests/services_config_test.cpp
@@ -40,8 +40,8 @@
            "\"127.0.0.1:11\"]" +
            more + "}\n" + kHead + kPools + kRoutes;
   };
-  EXPECT_EQ(good(tier("")).pools.at("a").settings.keepers, 0);
-  EXPECT_EQ(good(tier(", keepers: 2")).pools.at("a").settings.keepers, 2);
+  EXPECT_EQ(good(tier("")).pools.at("a").settings.dedicated_leaders, 0);
+  EXPECT_EQ(good(tier(", keepers: 2")).pools.at("a").settings.dedicated_leaders, 2);
   EXPECT_NE(faults(tier(", keepers: 3")).find("tier.keepers"), std::string::npos);
   EXPECT_NE(faults(tier(", keepers: 1, quotas: guarded")).find("tier.keepers"), std::string::npos);
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -86,7 +86,7 @@
     const bool named = std::any_of(faults.begin(), faults.end(),
                                    [&, name = key](const auto& f) { return f.starts_with(name + ": "); });
     EXPECT_TRUE(named) << key << "=" << value << " gave " << faults.front();
-    EXPECT_THROW(Brain{parse_settings(fields)}, std::invalid_argument) << key;
+    EXPECT_THROW(DecisionModule{parse_settings(fields)}, std::invalid_argument) << key;
   }
 }
 
