--- a/src/decision_module.cpp
+++ b/src/decision_module.cpp
@@ -69,8 +69,8 @@
 // ---- records ------------------------------------------------------------------------------------
 
 using ledger::Account;
-using ledger::Books;
 using ledger::Ledger;  // of a customer whose keeper this gateway is
+using ledger::QuotaState;
 using pool::Server;
 struct Attempt {
   int server = 0;
@@ -93,8 +93,8 @@
 
 class DecisionModule::Impl {
  public:
-  explicit Impl(const Settings& settings, const std::shared_ptr<Books>& books = nullptr)
-      : s_(settings), random_(settings.seed), books_(books ? books : std::make_shared<Books>()) {
+  explicit Impl(const Settings& settings, const std::shared_ptr<QuotaState>& books = nullptr)
+      : s_(settings), random_(settings.seed), books_(books ? books : std::make_shared<QuotaState>()) {
     config::check(settings);
     if (!books) {
       books_->plans = s_.plans;
@@ -104,7 +104,7 @@
     fresh_.window = windows_.first();
   }
 
-  const std::shared_ptr<Books>& books() const { return books_; }
+  const std::shared_ptr<QuotaState>& books() const { return books_; }
 
   std::optional<Allowance> allowance(Nanos now, const std::string& customer) const {
     const auto at = accounts_.find(ledger::hash_of(customer));
@@ -181,17 +181,17 @@
     a.first = std::clamp(request.first, 0, s_.gateways - 1);
     a.spread = std::clamp(request.spread, 1, s_.gateways);
     if (!s_.guarded && s_.dedicated_leaders == 0)
-      a.parts = ledger::parts_of(a.plan->rate, a.plan->burst, s_.most_units,
-                                 ledger::kMailShare * s_.peer_messages_per_s, a.spread);
-    a.part = s_.index % a.parts;
+      a.shards = ledger::parts_of(a.plan->rate, a.plan->burst, s_.most_units,
+                                  ledger::kMailShare * s_.peer_messages_per_s, a.spread);
+    a.shard = s_.index % a.shards;
     if (before) return ledger::go_by_plan(a);
-    a.filled = started_at_;
+    a.refilled_at = started_at_;
     if (s_.guarded) return;
-    a.level = a.sure = a.left = a.plan->burst;  // until a keeper tells more
+    a.tokens = a.confirmed_tokens = a.reported_allowance = a.plan->burst;  // until a keeper tells more
     // At first D splits evenly, and its share may be spent while the question is out; but not before the
     // store has filled again from what an earlier life of this gateway may have spent.
     const double refilled = a.plan->rate > 0 ? a.plan->burst / a.plan->rate * kSecond : 0;
-    if (static_cast<double>(now_ - started_at_) >= refilled) a.answered = now_;
+    if (static_cast<double>(now_ - started_at_) >= refilled) a.answered_at = now_;
     fill(a);
     if (s_.dedicated_leaders > 0) books_->meet(a, 2 * s_.most_units, time());
   }
@@ -210,24 +210,24 @@
 
   // The plan's store fills continuously, so D does too.
   void fill(Account& a) {
-    const double seconds = static_cast<double>(now_ - a.filled) / kSecond;
-    a.filled = now_;
+    const double seconds = static_cast<double>(now_ - a.refilled_at) / kSecond;
+    a.refilled_at = now_;
     const double part = alone() ? 1.0 / a.spread : 1;
     const double most = std::max(a.plan->burst * part, std::min(s_.most_units, a.plan->burst));
     // From here on its even share is all that it has: a request's worth of what was left by the last word,
     // and somewhere between two requests, so that all together spend at the plan's rate.
-    if (alone() && !a.alone && a.plan->burst > 0)
-      a.level = std::min(a.sure / a.plan->burst * most + drawn(), most);
+    if (alone() && !a.isolated && a.plan->burst > 0)
+      a.tokens = std::min(a.confirmed_tokens / a.plan->burst * most + drawn(), most);
     // The others have spent their even shares likewise: its own tells how much of the whole is left.
-    if (a.alone && !alone() && a.level > 0) a.level *= a.spread;
-    a.alone = alone();
-    a.level = std::min(most, a.level + a.plan->rate * part * seconds);
-    a.sure = std::min(a.sure, a.level);
-    a.left = std::min(a.plan->burst, a.left + a.plan->rate * seconds);
+    if (a.isolated && !alone() && a.tokens > 0) a.tokens *= a.spread;
+    a.isolated = alone();
+    a.tokens = std::min(most, a.tokens + a.plan->rate * part * seconds);
+    a.confirmed_tokens = std::min(a.confirmed_tokens, a.tokens);
+    a.reported_allowance = std::min(a.plan->burst, a.reported_allowance + a.plan->rate * seconds);
     // Each gateway keeps the hard ceiling alone: a store of its even part, empty at every start, since an
     // earlier life may have just spent it.
-    a.ceiling =
-        std::min(a.plan->ceiling_burst / a.spread, a.ceiling + a.plan->ceiling_rate / a.spread * seconds);
+    a.ceiling_tokens = std::min(a.plan->ceiling_burst / a.spread,
+                                a.ceiling_tokens + a.plan->ceiling_rate / a.spread * seconds);
   }
 
   // Where a plan bounds both, attempts out at once are bounded by even parts: no word of the others is in
@@ -239,54 +239,57 @@
     const double units = job.request.units;
     if (!has_place(a)) return false;
     if (guarded(a)) {
-      return a.spender.covers(a.total, units, part(a.plan->rate), part(a.plan->burst), time());
+      return a.spender.covers(a.used_units, units, part(a.plan->rate), part(a.plan->burst), time());
     }
-    if (alone()) return a.plan->rate > 0 ? a.level >= units : a.open * a.spread < a.plan->open_limit;
+    if (alone())
+      return a.plan->rate > 0 ? a.tokens >= units : a.open_attempts * a.spread < a.plan->open_limit;
     if (a.standing.throttled(time())) return a.standing.lets(job.lot);
     if (stands(a, units)) return true;
-    if (now_ > a.answered + kCreditLife) return false;  // stale, as after a stall
+    if (now_ > a.answered_at + kCreditLife) return false;  // stale, as after a stall
     if (a.plan->rate > 0) {
-      return static_cast<double>(a.total) + units <= static_cast<double>(a.limit) ||
-             a.level >= units * a.spread;
+      return static_cast<double>(a.used_units) + units <= static_cast<double>(a.limit) ||
+             a.tokens >= units * a.spread;
     }
-    return a.plan->open_limit > 0 && a.open < a.limit;
+    return a.plan->open_limit > 0 && a.open_attempts < a.limit;
   }
   bool stands(const Account& a, double units) const {
-    const bool heard =
-        a.asked <= a.answered || (a.misses == 0 && now_ - a.asked <= ledger::kAskPatience.count());
-    return a.plan->rate > 0 && a.standing.covers(units, a.lend, a.level, a.plan->burst, heard, time());
+    const bool heard = a.requested_at <= a.answered_at ||
+                       (a.unanswered_requests == 0 && now_ - a.requested_at <= ledger::kAskPatience.count());
+    return a.plan->rate > 0 && a.standing.covers(units, a.borrowable, a.tokens, a.plan->burst, heard, time());
   }
   // Short of time, a request whose question is not answered yet borrows from its gateway's next share.
   bool may_borrow(const Account& a, double units) const {
-    if (guarded(a) || a.asked <= a.answered || !has_place(a)) return false;  // its keeper has none left
-    return a.plan->rate > 0 ? std::min(a.lend, a.sure) >= units : a.open * a.spread < a.plan->open_limit;
+    if (guarded(a) || a.requested_at <= a.answered_at || !has_place(a))
+      return false;  // its keeper has none left
+    return a.plan->rate > 0 ? std::min(a.borrowable, a.confirmed_tokens) >= units
+                            : a.open_attempts * a.spread < a.plan->open_limit;
   }
   // The next share of D, split among those that most likely hold requests too, rounded up to whole requests
   // where the draw is low. Only what a keeper has told counts, once: what filled since, and what a new life
   // takes for D, each gateway of a set would lend itself, again and again.
   double next_share(const Account& a) {
-    const double share = std::max(0.0, a.sure / std::max(1.0, a.spread * kHolding));
+    const double share = std::max(0.0, a.confirmed_tokens / std::max(1.0, a.spread * kHolding));
     return share < s_.most_units && drawn() < share / s_.most_units ? s_.most_units : share;
   }
 
   void spend(Account& a, double units) {
     if (away_) act(SpentElsewhere{a.hash, units, false});
-    a.ceiling -= units;
-    if (guarded(a) && !a.spender.spend(a.total, units, part(a.plan->rate), part(a.plan->burst), time()))
+    a.ceiling_tokens -= units;
+    if (guarded(a) && !a.spender.spend(a.used_units, units, part(a.plan->rate), part(a.plan->burst), time()))
       return;
-    a.total += std::llround(units);
-    a.left -= units;
-    a.level = std::max(debt_of(*a.plan), a.level - units);
-    a.sure = std::max(debt_of(*a.plan), a.sure - units);
-    if (a.total <= a.limit) return;
-    if (a.alone) {  // its even share is its own: nobody counts it again after the heal
-      a.limit = a.total;
-      ++a.turn;
+    a.used_units += std::llround(units);
+    a.reported_allowance -= units;
+    a.tokens = std::max(debt_of(*a.plan), a.tokens - units);
+    a.confirmed_tokens = std::max(debt_of(*a.plan), a.confirmed_tokens - units);
+    if (a.used_units <= a.limit) return;
+    if (a.isolated) {  // its even share is its own: nobody counts it again after the heal
+      a.limit = a.used_units;
+      ++a.leader_epoch;
       return;
     }
     note(a);  // it was not granted: the keeper must hear of it
-    a.lend -= units;
-    a.standing.spend(a.lend, time());
+    a.borrowable -= units;
+    a.standing.spend(a.borrowable, time());
   }
 
   // ---- held requests ----------------------------------------------------------------------------
@@ -314,12 +317,12 @@
     at->second.admitted = request.budget <= kAnswerMargin || too_late;  // it is never in the queue
     if (at->second.admitted) return finish(at->second);
     held_.push_back(request.id);
-    a.held += 1;
+    a.held_requests += 1;
     a.held_weight += weight_of(request.units);
     a.held_units += request.units;
     a.hold_until = std::max(a.hold_until, std::min(at->second.hold_until, told_hold(at->second)));
-    if (a.held == 1 && !pressed_) release(at->second);
-    if (a.held > 0) {
+    if (a.held_requests == 1 && !pressed_) release(at->second);
+    if (a.held_requests > 0) {
       note(a);
       seek(a);
     }
@@ -348,7 +351,7 @@
   // client comes again within the aim.
   Nanos hold_of(const Job& job, const Account& a) const {
     if (a.standing.throttled(time())) return job.arrived;  // no word will come in time
-    return a.asked > a.answered ? job.hold_until : std::min(job.hold_until, told_hold(job));
+    return a.requested_at > a.answered_at ? job.hold_until : std::min(job.hold_until, told_hold(job));
   }
   static Nanos told_hold(const Job& job) {
     return job.arrived + static_cast<Nanos>(kHoldTold * static_cast<double>(job.klass->aim));
@@ -359,7 +362,7 @@
     auto& a = accounts_[job.account];
     if (a.plan) fill(a);
     const double units = job.request.units;
-    const bool room = a.plan && (a.plan->ceiling_rate <= 0 || a.ceiling >= units);
+    const bool room = a.plan && (a.plan->ceiling_rate <= 0 || a.ceiling_tokens >= units);
     const bool credit = room && has_credit(a, job);
     // Servers are only looked through for what could go: at full size that is most of the CPU.
     const auto hold = hold_of(job, a);
@@ -381,7 +384,7 @@
     }
     // Where a plan earns more beyond its quota than it costs, idle servers take what would be refused.
     if (server >= 0 && idle_ && room && a.plan->over_worth > a.plan->over_cost) {
-      a.ceiling -= units;
+      a.ceiling_tokens -= units;
       job.beyond = true;
       send(job, server);
     } else {
@@ -392,11 +395,11 @@
 
   void leave_queue(Job& job, Account& a) {
     job.admitted = true;
-    a.held -= 1;
-    a.held_weight = a.held > 0 ? std::max(0.0, a.held_weight - weight_of(job.request.units)) : 0;
-    a.held_units = a.held > 0 ? a.held_units - job.request.units : 0;
-    a.asked_units = std::min(a.asked_units, a.held_units);
-    if (a.limit > a.total) note(a);  // what it will not use goes back
+    a.held_requests -= 1;
+    a.held_weight = a.held_requests > 0 ? std::max(0.0, a.held_weight - weight_of(job.request.units)) : 0;
+    a.held_units = a.held_requests > 0 ? a.held_units - job.request.units : 0;
+    a.requested_units = std::min(a.requested_units, a.held_units);
+    if (a.limit > a.used_units) note(a);  // what it will not use goes back
   }
 
   // Under pressure worth, for a class's aim as a measure of its work, decides who gets a server first.
@@ -468,7 +471,7 @@
 
   void note(Account& a) {
     if (!a.plan) return;
-    a.news = true;
+    a.changed = true;
     agenda_.by(a.hash, time());
   }
 
@@ -476,27 +479,27 @@
   // look again.
   Nanos seek(Account& a) {
     const bool waits = ledger::waits_for_answer(a);
-    const bool gathers = a.held == 0 && !waits && a.standing.reports(time());
+    const bool gathers = a.held_requests == 0 && !waits && a.standing.reports(time());
     if (gathers && a.standing.due() > time()) return a.standing.due().count();
-    const bool report = gathers && !a.standing.wants_word(a.lend, time());
+    const bool report = gathers && !a.standing.wants_word(a.borrowable, time());
     int keeper = keeper_of(a);
-    const bool none = a.sure < a.parts;  // its part had none left
-    const ledger::Time spent(keeper != s_.index && none ? a.pause : 0);
+    const bool none = a.confirmed_tokens < a.shards;  // its part had none left
+    const ledger::Time spent(keeper != s_.index && none ? a.request_pause : 0);
     const auto next = leaders().next_question(a, keeper, spent, time());
     if (!report && time() < next) return std::min(next.count(), now_ + kSubperiod);
     if (leaders().turn(
             a, keeper, [this] { return drawn(); }, time()))
       keeper = keeper_of(a);
-    if (a.held == 0 && !a.news && !waits) return now_;
+    if (a.held_requests == 0 && !a.changed && !waits) return now_;
     fill(a);
-    if (none && !waits && a.parts > 1 && a.total >= a.limit) {  // another part may have some
-      a.part = (a.part + 1) % a.parts;
+    if (none && !waits && a.shards > 1 && a.used_units >= a.limit) {  // another part may have some
+      a.shard = (a.shard + 1) % a.shards;
       keeper = keeper_of(a);
     }
-    if (keeper != std::exchange(a.keeper, keeper)) ++a.turn;
-    a.news = a.plan->rate <= 0 && a.open > 0;  // attempts out are a lease: told of while it lasts
-    if (!report) a.asked = now_;
-    a.asked_units = a.held_units;
+    if (keeper != std::exchange(a.leader, keeper)) ++a.leader_epoch;
+    a.changed = a.plan->rate <= 0 && a.open_attempts > 0;  // attempts out are a lease: told of while it lasts
+    if (!report) a.requested_at = now_;
+    a.requested_units = a.held_units;
     if (keeper < 0) return now_;
     const auto plan = static_cast<std::uint32_t>(a.plan - plans_.data());
     const auto entry = ledger::entry_of(a, plan, guarded(a), report, time());
@@ -595,20 +598,20 @@
       if (!a.spender.credit.granted(number, limit, time())) return;
       a.spender.unkept_until = ledger::Time(-1);
       limit = a.spender.credit.limit();
-    } else if (number != a.turn) {
+    } else if (number != a.leader_epoch) {
       return;  // of a keeper that is not asked any more
     }
     a.limit = limit;
-    if (a.plan->rate > 0 && a.total > limit) note(a);  // spent while it was given back
-    a.answered = std::max(now_, a.asked);
-    a.told_part = a.part;
-    a.pause = pause.count();
-    a.level = a.sure = ledger::level_told(a.plan->burst, level);
-    a.lend = std::max(next_share(a), open && !s_.guarded ? 2 * s_.most_units : 0);
-    a.standing.told(open && !s_.guarded, a.lend, time());
-    a.left = std::min(a.plan->burst, a.level + static_cast<double>(limit - a.total));
+    if (a.plan->rate > 0 && a.used_units > limit) note(a);  // spent while it was given back
+    a.answered_at = std::max(now_, a.requested_at);
+    a.last_answered_shard = a.shard;
+    a.request_pause = pause.count();
+    a.tokens = a.confirmed_tokens = ledger::level_told(a.plan->burst, level);
+    a.borrowable = std::max(next_share(a), open && !s_.guarded ? 2 * s_.most_units : 0);
+    a.standing.told(open && !s_.guarded, a.borrowable, time());
+    a.reported_allowance = std::min(a.plan->burst, a.tokens + static_cast<double>(limit - a.used_units));
     freed_ = true;
-    if (a.held > 0) agenda_.by(a.hash, time());
+    if (a.held_requests > 0) agenda_.by(a.hash, time());
   }
 
   // ---- server choice and health -----------------------------------------------------------------
@@ -757,7 +760,7 @@
     target.open += 1;
     target.cold_tokens -= 1;
     if (job.attempts.size() == 1) hedge_tokens_ = std::min(20.0, hedge_tokens_ + kHedgeShare);
-    accounts_[job.account].open += 1;
+    accounts_[job.account].open_attempts += 1;
     act(Send{job.request.id, target.entry.id, std::max<Nanos>(patience, kMs),
              whole_by == pool::kAnyTime ? 0 : whole_by});
   }
@@ -784,10 +787,10 @@
     server.open -= 1;
     judge(server, job, attempt, outcome);
     auto& a = accounts_[job.account];
-    a.open -= 1;
+    a.open_attempts -= 1;
     if (a.plan && a.plan->open_limit > 0) {  // its place is given back at once
       note(a);
-      a.asked_units = -1;
+      a.requested_units = -1;
       freed_ = true;
     }
     if (a.plan && outcome.settled_units > 0 && !job.beyond)
@@ -802,10 +805,10 @@
   void settle(Account& a, double difference) {
     if (away_) act(SpentElsewhere{a.hash, difference, true});
     fill(a);
-    a.total = std::max<std::int64_t>(0, a.total + std::llround(difference));
+    a.used_units = std::max<std::int64_t>(0, a.used_units + std::llround(difference));
     a.limit += std::llround(difference);
-    a.left -= difference;
-    a.level = std::max(debt_of(*a.plan), a.level - difference);
+    a.reported_allowance -= difference;
+    a.tokens = std::max(debt_of(*a.plan), a.tokens - difference);
     note(a);
   }
 
@@ -833,8 +836,8 @@
   // For those who ask by other ways than the clients' own retries: when its units should be there again.
   Nanos back_in(const Job& job) {
     const auto& a = accounts_[job.account];
-    const bool short_of = a.plan && a.plan->rate > 0 && a.level < job.request.units;
-    const double seconds = short_of ? (job.request.units - a.level) / a.plan->rate : 0;
+    const bool short_of = a.plan && a.plan->rate > 0 && a.tokens < job.request.units;
+    const double seconds = short_of ? (job.request.units - a.tokens) / a.plan->rate : 0;
     return std::max(kSubperiod, static_cast<Nanos>(std::min(seconds, 60.0) * kSecond));
   }
 
@@ -955,7 +958,8 @@
     agenda_.look(time(), [this](std::uint32_t hash) -> std::optional<ledger::Time> {
       auto& a = accounts_.at(hash);
       const ledger::Time again(seek(a));
-      return a.held > 0 || a.news || a.asked > a.answered ? std::optional(again) : std::nullopt;
+      return a.held_requests > 0 || a.changed || a.requested_at > a.answered_at ? std::optional(again)
+                                                                                : std::nullopt;
     });
     release_held();
     watch_attempts();
@@ -970,10 +974,10 @@
     books_->throttled.forget(time());
     ledger::erase_some(accounts_, books_->swept, [&](const auto& item) {
       const auto& [hash, a] = item;
-      if (a.held > 0 || a.open > 0 || agenda_.contains(hash)) return false;
+      if (a.held_requests > 0 || a.open_attempts > 0 || agenda_.contains(hash)) return false;
       if (!a.plan) return true;
-      const auto quiet = now_ - std::max(a.filled, a.asked);
-      const double level = a.level + a.plan->rate * static_cast<double>(quiet) / kSecond;
+      const auto quiet = now_ - std::max(a.refilled_at, a.requested_at);
+      const double level = a.tokens + a.plan->rate * static_cast<double>(quiet) / kSecond;
       const double part = alone() ? 1.0 / a.spread : 1;
       return quiet > after && (a.plan->rate <= 0 || level >= a.plan->burst * part);
     });
@@ -990,12 +994,12 @@
 
   const Settings s_;
   std::mt19937_64 random_;
-  const std::shared_ptr<Books> books_;
+  const std::shared_ptr<QuotaState> books_;
   const std::vector<PlanSettings>& plans_ = books_->plans;
-  std::uint32_t& life_ = books_->life;
+  std::uint32_t& life_ = books_->generation;
   std::map<std::uint32_t, Account>& accounts_ = books_->accounts;
-  ledger::Agenda& agenda_ = books_->agenda;
-  Nanos& started_at_ = books_->started;
+  ledger::Agenda& agenda_ = books_->due_queue;
+  Nanos& started_at_ = books_->started_at;
   Nanos now_ = 0;
   std::vector<Action>* actions_ = nullptr;
   bool started_ = false;
--- a/src/handover/module_state.cpp
+++ b/src/handover/module_state.cpp
@@ -14,10 +14,11 @@
               fits(s.served_recently) && fits(s.hedge_tokens) && s.life <= 0xffff &&
               s.plans.size() == s.accounts.size();
   for (const auto& [hash, a] : s.accounts) {
-    good = good && s.plans.contains(hash) && fits(a.level) && fits(a.sure) && fits(a.lend) && fits(a.left) &&
-           fits(a.ceiling) && a.filled <= now && a.hash == hash && a.spread >= 1 &&
-           a.spread <= settings.gateways && a.first >= 0 && a.first < settings.gateways && a.parts >= 1 &&
-           a.part >= 0 && a.part < a.parts && a.parts <= a.spread && a.keeper < settings.gateways;
+    good = good && s.plans.contains(hash) && fits(a.tokens) && fits(a.confirmed_tokens) &&
+           fits(a.borrowable) && fits(a.reported_allowance) && fits(a.ceiling_tokens) &&
+           a.refilled_at <= now && a.hash == hash && a.spread >= 1 && a.spread <= settings.gateways &&
+           a.first >= 0 && a.first < settings.gateways && a.shards >= 1 && a.shard >= 0 &&
+           a.shard < a.shards && a.shards <= a.spread && a.leader < settings.gateways;
   }
   for (const auto& [hash, plan] : s.plans) {
     good = good && plan >= 0 && plan < static_cast<std::int64_t>(s.terms.size());
@@ -60,8 +61,8 @@
 std::string save(const Memory& memory) {
   ModuleState state;
   const auto& books = memory.books;
-  state.life = books.life;
-  state.started = books.started;
+  state.life = books.generation;
+  state.started = books.started_at;
   state.suspected_until = books.leaders->suspicion().until();
   state.served_recently = memory.served_recently;
   state.hedge_tokens = memory.hedge_tokens;
@@ -91,7 +92,7 @@
 
 void take_up(ModuleState&& state, const Memory& memory) {
   auto& books = memory.books;
-  books.started = state.started;
+  books.started_at = state.started;
   books.leaders->suspicion().restore(std::move(state.suspected_until));
   memory.served_recently = state.served_recently;
   memory.hedge_tokens = state.hedge_tokens;
@@ -99,7 +100,7 @@
   books.accounts = std::move(state.accounts);
   for (auto& [hash, a] : books.accounts) {
     a.plan = &books.plans[static_cast<std::size_t>(state.plans.at(hash))];
-    if (a.asked > a.answered || a.news) books.agenda.by(hash, ledger::Time(0));
+    if (a.requested_at > a.answered_at || a.changed) books.due_queue.by(hash, ledger::Time(0));
   }
   for (auto& [hash, ledger] : state.ledgers) {
     for (const auto& [gateway, claim] : ledger.claims) ledger.stand(gateway);
--- a/src/handover/module_state.h
+++ b/src/handover/module_state.h
@@ -33,8 +33,9 @@
 
 template <typename Io>
 void fields(Io& io, Account& a) {
-  io(a.hash, a.first, a.spread, a.parts, a.part, a.keeper, a.turn, a.level, a.sure, a.lend, a.left, a.ceiling,
-     a.filled, a.total, a.limit, a.asked, a.answered, a.misses, a.news);
+  io(a.hash, a.first, a.spread, a.shards, a.shard, a.leader, a.leader_epoch, a.tokens, a.confirmed_tokens,
+     a.borrowable, a.reported_allowance, a.ceiling_tokens, a.refilled_at, a.used_units, a.limit,
+     a.requested_at, a.answered_at, a.unanswered_requests, a.changed);
 }
 template <typename Io>
 void fields(Io& io, Claim& c) {
@@ -85,7 +86,7 @@
 
 // The module's memory, wherever it stands.
 struct Memory {
-  ledger::Books& books;
+  ledger::QuotaState& books;
   double &served_recently, &hedge_tokens;
   std::map<std::string, std::map<Nanos, int>>& budgets;
   std::vector<pool::Server>& servers;
--- a/src/ledger/leader_selection.h
+++ b/src/ledger/leader_selection.h
@@ -66,7 +66,7 @@
   Time next_question(const Account& a, int leader, Time pause, Time now) const {
     if (unheard(a, now)) return next_probe_;
     if (proves_nothing(a, leader) || asked_in_silence(a)) return now;
-    return Time(a.asked) +
+    return Time(a.requested_at) +
            until_next_question(a, pause, terms_.subperiod, there(a) ? kHeardDoublings : kAskDoublings);
   }
   // A question leaves now: counts the one before, if that was not answered. True: who was asked is suspected
@@ -81,16 +81,17 @@
       return false;
     }
     if (!waits_for_answer(a) || proves_nothing(a, leader)) {
-      a.misses = 0;
+      a.unanswered_requests = 0;
       return false;
     }
     if (asked_in_silence(a)) {
-      a.misses = std::min(a.misses, kAskTries - 1);
+      a.unanswered_requests = std::min(a.unanswered_requests, kAskTries - 1);
       return false;
     }
     // It counts against the member that was asked: `leader` may be another by now.
-    if (++a.misses < kAskTries || a.keeper < 0 || a.keeper == terms_.self || terms_.guarded) return false;
-    suspicion_.suspect(a.keeper, now);
+    if (++a.unanswered_requests < kAskTries || a.leader < 0 || a.leader == terms_.self || terms_.guarded)
+      return false;
+    suspicion_.suspect(a.leader, now);
     return true;
   }
   // Is this the answer of a replica that was asked while nobody was heard, although `leader` can be asked
@@ -104,7 +105,7 @@
   static constexpr double kLeastProbe = 1.4, kProbeJitter = 0.4;
 
   int at(const Account& a, int rank) const {
-    return keeper_at(a.hash, a.part, rank, a.first, a.spread, terms_.members, terms_.aside);
+    return keeper_at(a.hash, a.shard, rank, a.first, a.spread, terms_.members, terms_.aside);
   }
   // The account's question waits, and nobody at all is heard.
   bool unheard(const Account& a, Time now) const {
@@ -113,17 +114,17 @@
   // Does it say nothing about who was asked that the account's question was not answered?
   bool proves_nothing(const Account& a, int leader) const {
     if (!waits_for_answer(a)) return false;
-    if (a.keeper < 0) return leader >= 0;  // nobody was asked
-    return Time(a.asked) < std::max(isolation_.evidence_from(), suspicion_.recovered(a.keeper));
+    if (a.leader < 0) return leader >= 0;  // nobody was asked
+    return Time(a.requested_at) < std::max(isolation_.evidence_from(), suspicion_.recovered(a.leader));
   }
   // Has the guarded keeper that was asked been heard since its answer was due? Its votes come all the time,
   // so a question or an answer is lost, or it had no right to keep: it can be asked again soon.
   bool there(const Account& a) const {
-    return terms_.guarded && a.keeper >= 0 && a.keeper != terms_.self &&
-           heard_[static_cast<std::size_t>(a.keeper)] > Time(a.asked) + kAskPatience;
+    return terms_.guarded && a.leader >= 0 && a.leader != terms_.self &&
+           heard_[static_cast<std::size_t>(a.leader)] > Time(a.requested_at) + kAskPatience;
   }
   bool asked_in_silence(const Account& a) const {
-    return waits_for_answer(a) && Time(a.asked) < isolation_.silent_until();
+    return waits_for_answer(a) && Time(a.requested_at) < isolation_.silent_until();
   }
 
   const LeaderTerms terms_;
--- a/src/ledger/lease_requests.h
+++ b/src/ledger/lease_requests.h
@@ -46,11 +46,12 @@
 inline Entry entry_of(Account& a, std::uint32_t plan, bool guarded, bool report, Time now) {
   const auto whole = [](double figure) { return static_cast<std::uint64_t>(std::llround(figure)); };
   const bool places = a.plan->rate <= 0;
-  const auto used = places ? a.open : a.total;
-  const auto wanted = whole(report ? a.standing.turned_away() : places ? a.held : a.held_units);
-  const auto number = guarded ? a.spender.credit.ask(used, static_cast<std::int64_t>(wanted), now) : a.turn;
+  const auto used = places ? a.open_attempts : a.used_units;
+  const auto wanted = whole(report ? a.standing.turned_away() : places ? a.held_requests : a.held_units);
+  const auto number =
+      guarded ? a.spender.credit.ask(used, static_cast<std::int64_t>(wanted), now) : a.leader_epoch;
   const auto hold = std::max<Nanos>(0, a.hold_until - now.count()) / kHoldStep.count();
-  const auto owed = places || guarded ? 0 : std::max<std::int64_t>(0, a.total - a.limit);
+  const auto owed = places || guarded ? 0 : std::max<std::int64_t>(0, a.used_units - a.limit);
   const bool throttled = a.standing.throttled(now);
   const auto last = !report     ? kQuestion
                     : throttled ? kThrottledReport + whole(kAll * a.standing.part())
@@ -58,10 +59,10 @@
   // Nobody has told the level of a store that presses: a keeper that knows nothing takes it for low.
   const std::uint64_t most = throttled ? kPressedLevel : kAll;
   // Of another part's store nothing is known.
-  const bool known = a.parts == 1 || a.part == a.told_part;
-  const auto level = std::min(known ? told_level(a.plan->burst, a.level) : kAll, most);
+  const bool known = a.shards == 1 || a.shard == a.last_answered_shard;
+  const auto level = std::min(known ? told_level(a.plan->burst, a.tokens) : kAll, most);
   a.standing.reported();
-  if (report) a.limit = std::max(a.limit, a.total);
+  if (report) a.limit = std::max(a.limit, a.used_units);
   LeaseRequest request;
   request.used = static_cast<std::uint64_t>(used);
   request.level = level;
@@ -69,7 +70,7 @@
   request.wanted = wanted;
   request.number = number;
   request.hold = static_cast<std::uint64_t>(hold);
-  request.parts = static_cast<std::uint64_t>(a.parts);
+  request.parts = static_cast<std::uint64_t>(a.shards);
   request.owed = static_cast<std::uint64_t>(owed);
   request.report = last;
   return {plan, a.hash, request};
--- a/src/ledger/quota_state.h
+++ b/src/ledger/quota_state.h
@@ -14,12 +14,12 @@
 namespace cranemux::ledger {
 
 // Quotas and the mail about them: of one DecisionModule, or of several in a process that hold them together.
-struct Books {
+struct QuotaState {
   std::vector<PlanSettings> plans;
-  std::uint32_t life = 0;
+  std::uint32_t generation = 0;
   std::map<std::uint32_t, Account> accounts;
-  Agenda agenda;  // accounts with something to ask or tell
-  Nanos started = -1;
+  Agenda due_queue;  // accounts with something to ask or tell
+  Nanos started_at = -1;
   Nanos next_split = 0;        // of ledgers, by whoever of several modules comes to it first
   std::unique_ptr<Mail> mail;  // from the start on
   std::unique_ptr<Ledgers> ledgers;
@@ -31,7 +31,7 @@
   // asked for, and `share` units whether its keeper is heard or not.
   void meet(Account& a, double share, Time now) const {
     if (a.plan->rate <= 0) return;
-    a.lend = share;
+    a.borrowable = share;
     a.standing.told(true, share, now);
     if (const auto part = throttled.share(a.hash, now)) a.standing.throttle(part_of(*part), now);
   }
