--- a/src/cli/quota_bound.cpp
+++ b/src/cli/quota_bound.cpp
@@ -74,7 +74,7 @@
   for (const auto& p : settings.plans) {
     if (p.rate <= 0) continue;
     const ledger::Plan plan{p.name, p.rate, p.burst, settings.most_units};
-    const auto bound = ledger::bound_of(tier, plan);
+    const auto bound = ledger::compute_bound(tier, plan);
     if (command.as_json) {
       plans.push_back(object({{"plan", text(p.name)},
                               {"beyond", number(bound.units)},
--- a/src/decision_module.cpp
+++ b/src/decision_module.cpp
@@ -120,9 +120,11 @@
 
   std::string guard_report(Nanos now) const {
     if (!s_.guarded || !books_->mail) return {};
-    const auto on = std::count_if(accounts_.begin(), accounts_.end(),
-                                  [](const auto& a) { return a.second.spender.part.on(); });
-    return ledger::report(*books_->mail, *books_->ledgers, static_cast<std::size_t>(on), ledger::Time(now));
+    const auto on = std::count_if(accounts_.begin(), accounts_.end(), [](const auto& a) {
+      return a.second.guarded_quota.fallback_share.active();
+    });
+    return ledger::tier_report(*books_->mail, *books_->ledgers, static_cast<std::size_t>(on),
+                               ledger::Time(now));
   }
 
   std::string save() { return s_.guarded || !started_ ? std::string() : handover::save(memory()); }
@@ -162,7 +164,7 @@
 
   // ---- quota ledger and split -------------------------------------------------------------------
 
-  double weight_of(double units) const { return ledger::weight_of(units, s_.most_units); }
+  double weight_of(double units) const { return ledger::request_weight(units, s_.most_units); }
 
   // How far a store may go below nothing: settled differences may be as large as it is.
   double debt_of(const PlanSettings& plan) const {
@@ -181,8 +183,8 @@
     a.first = std::clamp(request.first, 0, s_.gateways - 1);
     a.spread = std::clamp(request.spread, 1, s_.gateways);
     if (!s_.guarded && s_.dedicated_leaders == 0)
-      a.shards = ledger::parts_of(a.plan->rate, a.plan->burst, s_.most_units,
-                                  ledger::kMailShare * s_.peer_messages_per_s, a.spread);
+      a.shards = ledger::shard_count(a.plan->rate, a.plan->burst, s_.most_units,
+                                     ledger::kMailShare * s_.peer_messages_per_s, a.spread);
     a.shard = s_.index % a.shards;
     if (before) return ledger::go_by_plan(a);
     a.refilled_at = started_at_;
@@ -239,11 +241,11 @@
     const double units = job.request.units;
     if (!has_place(a)) return false;
     if (guarded(a)) {
-      return a.spender.covers(a.used_units, units, part(a.plan->rate), part(a.plan->burst), time());
+      return a.guarded_quota.covers(a.used_units, units, part(a.plan->rate), part(a.plan->burst), time());
     }
     if (alone())
       return a.plan->rate > 0 ? a.tokens >= units : a.open_attempts * a.spread < a.plan->open_limit;
-    if (a.standing.throttled(time())) return a.standing.lets(job.lot);
+    if (a.optimistic_lease.shedding(time())) return a.optimistic_lease.admits(job.lot);
     if (stands(a, units)) return true;
     if (now_ > a.answered_at + kCreditLife) return false;  // stale, as after a stall
     if (a.plan->rate > 0) {
@@ -255,7 +257,8 @@
   bool stands(const Account& a, double units) const {
     const bool heard = a.requested_at <= a.answered_at ||
                        (a.unanswered_requests == 0 && now_ - a.requested_at <= ledger::kAskPatience.count());
-    return a.plan->rate > 0 && a.standing.covers(units, a.borrowable, a.tokens, a.plan->burst, heard, time());
+    return a.plan->rate > 0 &&
+           a.optimistic_lease.covers(units, a.borrowable, a.tokens, a.plan->burst, heard, time());
   }
   // Short of time, a request whose question is not answered yet borrows from its gateway's next share.
   bool may_borrow(const Account& a, double units) const {
@@ -275,7 +278,8 @@
   void spend(Account& a, double units) {
     if (away_) act(SpentElsewhere{a.hash, units, false});
     a.ceiling_tokens -= units;
-    if (guarded(a) && !a.spender.spend(a.used_units, units, part(a.plan->rate), part(a.plan->burst), time()))
+    if (guarded(a) &&
+        !a.guarded_quota.spend(a.used_units, units, part(a.plan->rate), part(a.plan->burst), time()))
       return;
     a.used_units += std::llround(units);
     a.reported_allowance -= units;
@@ -289,7 +293,7 @@
     }
     note(a);  // it was not granted: the keeper must hear of it
     a.borrowable -= units;
-    a.standing.spend(a.borrowable, time());
+    a.optimistic_lease.spend(a.borrowable, time());
   }
 
   // ---- held requests ----------------------------------------------------------------------------
@@ -350,7 +354,7 @@
   // Once its keeper has answered, a request hopes for the next shares only so long: refused sooner, its
   // client comes again within the aim.
   Nanos hold_of(const Job& job, const Account& a) const {
-    if (a.standing.throttled(time())) return job.arrived;  // no word will come in time
+    if (a.optimistic_lease.shedding(time())) return job.arrived;  // no word will come in time
     return a.requested_at > a.answered_at ? job.hold_until : std::min(job.hold_until, told_hold(job));
   }
   static Nanos told_hold(const Job& job) {
@@ -378,8 +382,8 @@
     const auto last = credit || (a.plan && a.plan->rate <= 0) ? std::min(job.goal, job.arrived + wait) : hold;
     if (now_ < last) return false;
     leave_queue(job, a);
-    if (!credit && a.standing.throttled(time())) {
-      a.standing.turn_away(units, time());
+    if (!credit && a.optimistic_lease.shedding(time())) {
+      a.optimistic_lease.record_shed(units, time());
       note(a);
     }
     // Where a plan earns more beyond its quota than it costs, idle servers take what would be refused.
@@ -446,11 +450,11 @@
             lease.open == 1);
   }
   void handle(int from, const ledger::Entry& entry, const ledger::Transfer& transfer, std::uint32_t) {
-    ledgers().take_over(open_ledger(entry, 1), from, rights().epoch(from), transfer.level, transfer.number,
-                        time());
+    ledgers().receive_transfer(open_ledger(entry, 1), from, rights().epoch(from), transfer.level,
+                               transfer.number, time());
   }
   void handle(int, const ledger::Entry& entry, const ledger::ShedShare& shed, std::uint32_t) {
-    const auto share = static_cast<int>(std::min<std::uint64_t>(shed.share, ledger::kAll));
+    const auto share = static_cast<int>(std::min<std::uint64_t>(shed.share, ledger::kWholeShare));
     books_->throttle({entry.plan, entry.customer, share}, time());
   }
 
@@ -479,9 +483,9 @@
   // look again.
   Nanos seek(Account& a) {
     const bool waits = ledger::waits_for_answer(a);
-    const bool gathers = a.held_requests == 0 && !waits && a.standing.reports(time());
-    if (gathers && a.standing.due() > time()) return a.standing.due().count();
-    const bool report = gathers && !a.standing.wants_word(a.borrowable, time());
+    const bool gathers = a.held_requests == 0 && !waits && a.optimistic_lease.only_reports(time());
+    if (gathers && a.optimistic_lease.due() > time()) return a.optimistic_lease.due().count();
+    const bool report = gathers && !a.optimistic_lease.needs_renewal(a.borrowable, time());
     int keeper = keeper_of(a);
     const bool none = a.confirmed_tokens < a.shards;  // its part had none left
     const ledger::Time spent(keeper != s_.index && none ? a.request_pause : 0);
@@ -522,53 +526,54 @@
   // As keeper: what `from` used beyond its limit was borrowed, what it no longer wants comes back.
   void handle(int from, const ledger::Entry& entry, const ledger::LeaseRequest& request, std::uint32_t life) {
     const auto ask = ledger::ask_of(request, life, s_.guarded);
-    if (s_.guarded && (ends_ || !ledgers().holds(entry.customer, time()))) return refuse(from, entry, ask);
+    if (s_.guarded && (ends_ || !ledgers().has_leadership(entry.customer, time())))
+      return refuse(from, entry, ask);
     auto& ledger = open_ledger(entry, request.parts);
-    if (ledger.plan != entry.plan || ledger.parts != request.parts) return;
+    if (ledger.plan != entry.plan || ledger.shards != request.parts) return;
     ledgers().fill(ledger, time());
-    ledger.heard = time();
+    ledger.requested_at = time();
     if (from != s_.index && ask.wanted > 0) {
       const double most = ledger::kMailShare * s_.peer_messages_per_s;
-      ledger.pacing.asked({ledger.rate, most, s_.gateways, ledger.claims.size() + 1}, time());
+      ledger.pacing.record_request({ledger.rate, most, s_.gateways, ledger.claims.size() + 1}, time());
     }
     // What another keeper has granted since is not in this ledger, which filled all the same: where it does
     // not know all that was asked, the least told level counts.
-    if (!s_.guarded && !ledger.knows(from, ask)) {
-      ledger.level = std::min(ledger.level, ledger::level_told(ledger.burst, request.level));
+    if (!s_.guarded && !ledger.has_current_claim(from, ask)) {
+      ledger.tokens = std::min(ledger.tokens, ledger::level_told(ledger.burst, request.level));
     }
     if (!ledger.merge(from, ask, time())) return;
-    const bool told =
-        ask.report && (s_.dedicated_leaders == 0 || (ask.share < ledger::kAll) != ledger.throttle.on());
+    const bool told = ask.report && (s_.dedicated_leaders == 0 ||
+                                     (ask.share < ledger::kWholeShare) != ledger.load_shedder.active());
     share_out(ledger, ask.report ? -1 : from, told ? from : -1);
   }
 
   // Without the right to keep: the asking gateway may turn to its part.
-  void refuse(int from, const ledger::Entry& entry, const ledger::Ask& ask) {
+  void refuse(int from, const ledger::Entry& entry, const ledger::Demand& ask) {
     if (from == s_.index) return;
     const auto used = static_cast<std::uint64_t>(ask.used);
-    mail().write(from,
-                 {entry.plan, entry.customer, ledger::Lease{ask.life & 0xffffU, used, 0, ask.number, 0, 0}});
+    mail().write(from, {entry.plan, entry.customer,
+                        ledger::Lease{ask.generation & 0xffffU, used, 0, ask.number, 0, 0}});
   }
 
   // `asker` is answered anyway; whoever has only reported, `told`, if it should not go on so.
   void share_out(Ledger& ledger, int asker, int told = -1) {
     ledgers().fill(ledger, time());
-    if (!ledgers().holds(ledger.customer, time())) return;
+    if (!ledgers().has_leadership(ledger.customer, time())) return;
     const auto& plan = plans_[ledger.plan];
-    const ledger::SplitTerms terms{s_.most_units, plan.rate > 0 ? 0 : plan.open_limit, asker};
+    const ledger::SplitOptions terms{s_.most_units, plan.rate > 0 ? 0 : plan.open_limit, asker};
     for (const int gateway : ledger::split(ledger, terms, time(), random_)) {
       if (gateway != asker) grant(ledger, gateway);
     }
     if (asker >= 0) grant(ledger, asker);
     if (s_.guarded || plan.rate <= 0) return;
     if (s_.dedicated_leaders > 0) {
-      const auto share = ledger.throttle.look(ledger.level, ledger.rate, ledger.burst, time());
+      const auto share = ledger.load_shedder.update(ledger.tokens, ledger.rate, ledger.burst, time());
       if (share) return mail().tell({ledger.plan, ledger.customer, *share});
-      if (told >= 0) mail().tell(told, {ledger.plan, ledger.customer, ledger.throttle.said()});
+      if (told >= 0) mail().tell(told, {ledger.plan, ledger.customer, ledger.load_shedder.announced_share()});
       return;
     }
-    const bool all = ledger.slack.look(ledger.level, ledger.burst, time());
-    if (!all && told >= 0 && ledger.slack.tight(time())) grant(ledger, told);
+    const bool all = ledger.low_watermark.update(ledger.tokens, ledger.burst, time());
+    if (!all && told >= 0 && ledger.low_watermark.below(time())) grant(ledger, told);
     for (auto at = ledger.claims.begin(); all && at != ledger.claims.end(); ++at) {
       if (at->first != asker) grant(ledger, at->first);
     }
@@ -576,12 +581,12 @@
 
   void grant(const Ledger& ledger, int to) {
     const auto& claim = ledger.claims.at(to);
-    const auto level = ledger::told_level(ledger.burst, ledger.level);
-    const auto number = s_.guarded ? claim.number : claim.turn;
-    const bool open = s_.guarded || (ledger.rate > 0 && !ledger.tight(time()));
+    const auto level = ledger::told_level(ledger.burst, ledger.tokens);
+    const auto number = s_.guarded ? claim.number : claim.leader_epoch;
+    const bool open = s_.guarded || (ledger.rate > 0 && !ledger.below_low_watermark(time()));
     if (to == s_.index)
       return granted(accounts_[ledger.customer], claim.limit, level, number, ledger::Time(0), open);
-    ledger::Lease lease{claim.life & 0xffffU, static_cast<std::uint64_t>(claim.limit), level, number};
+    ledger::Lease lease{claim.generation & 0xffffU, static_cast<std::uint64_t>(claim.limit), level, number};
     lease.pause = static_cast<std::uint64_t>(ledger.pacing.pause() / ledger::kPauseStep);
     lease.open = open ? 1 : 0;
     mail().write(to, {ledger.plan, ledger.customer, lease});
@@ -593,11 +598,11 @@
     if (!a.plan) return;
     fill(a);
     if (guarded(a)) {
-      if (!open) a.spender.refused(number, time());
-      if (!open) return a.spender.turn(rights(), a.hash, s_.index, time());
-      if (!a.spender.credit.granted(number, limit, time())) return;
-      a.spender.unkept_until = ledger::Time(-1);
-      limit = a.spender.credit.limit();
+      if (!open) a.guarded_quota.refused(number, time());
+      if (!open) return a.guarded_quota.update_fallback(rights(), a.hash, s_.index, time());
+      if (!a.guarded_quota.lease.apply_grant(number, limit, time())) return;
+      a.guarded_quota.no_leader_until = ledger::Time(-1);
+      limit = a.guarded_quota.lease.limit();
     } else if (number != a.leader_epoch) {
       return;  // of a keeper that is not asked any more
     }
@@ -608,7 +613,7 @@
     a.request_pause = pause.count();
     a.tokens = a.confirmed_tokens = ledger::level_told(a.plan->burst, level);
     a.borrowable = std::max(next_share(a), open && !s_.guarded ? 2 * s_.most_units : 0);
-    a.standing.told(open && !s_.guarded, a.borrowable, time());
+    a.optimistic_lease.update(open && !s_.guarded, a.borrowable, time());
     a.reported_allowance = std::min(a.plan->burst, a.tokens + static_cast<double>(limit - a.used_units));
     freed_ = true;
     if (a.held_requests > 0) agenda_.by(a.hash, time());
@@ -926,10 +931,10 @@
     next_guard_ = now_ + mail().every().count();
     mail().beat(time());
     for (auto& [hash, a] : accounts_) {
-      if (a.plan) a.spender.turn(rights(), hash, s_.index, time());
+      if (a.plan) a.guarded_quota.update_fallback(rights(), hash, s_.index, time());
     }
-    ledgers().hand_over(s_.index, ends_, time());
-    ledgers().hand(s_.index, time(), [this](int to, const ledger::Hand& h) {
+    ledgers().start_transfers(s_.index, ends_, time());
+    ledgers().send_transfers(s_.index, time(), [this](int to, const ledger::PendingTransfer& h) {
       mail().write(to, {h.plan, h.customer, ledger::Transfer{h.level, h.number}});
     });
   }
@@ -970,8 +975,8 @@
   // totals would not fit its next ones. A ledger goes once it is full.
   void forget() {
     const auto after = accounts_.size() < kManyAccounts ? kRemember : kForget;
-    ledgers().forget(time(), ledger::Time(after));
-    books_->throttled.forget(time());
+    ledgers().erase_idle(time(), ledger::Time(after));
+    books_->throttled.erase_expired(time());
     ledger::erase_some(accounts_, books_->swept, [&](const auto& item) {
       const auto& [hash, a] = item;
       if (a.held_requests > 0 || a.open_attempts > 0 || agenda_.contains(hash)) return false;
@@ -985,7 +990,7 @@
 
   // Timers only while something waits; the subperiod's otherwise.
   void wake() {
-    const bool works = !jobs_.empty() || mail().waits() || ledgers().hands();
+    const bool works = !jobs_.empty() || mail().waits() || ledgers().has_transfers();
     const auto due = works ? 0 : agenda_.next().value_or(ledger::Time(next_split_)).count();
     auto at = std::min(next_split_, std::max<Nanos>(due, last_tick_ + kTick));
     if (s_.guarded) at = std::min(at, next_guard_);
--- a/src/handover/module_state.cpp
+++ b/src/handover/module_state.cpp
@@ -24,8 +24,8 @@
     good = good && plan >= 0 && plan < static_cast<std::int64_t>(s.terms.size());
   }
   for (const auto& [hash, l] : s.ledgers) {
-    good = good && l.customer == hash && l.plan < s.terms.size() && fits(l.level) && l.parts >= 1 &&
-           l.filled.count() <= now;
+    good = good && l.customer == hash && l.plan < s.terms.size() && fits(l.tokens) && l.shards >= 1 &&
+           l.refilled_at.count() <= now;
     for (const auto& [gateway, claim] : l.claims) {
       good = good && gateway >= 0 && gateway < settings.gateways && fits(claim.weight) && fits(claim.wanted);
     }
@@ -103,7 +103,7 @@
     if (a.requested_at > a.answered_at || a.changed) books.due_queue.by(hash, ledger::Time(0));
   }
   for (auto& [hash, ledger] : state.ledgers) {
-    for (const auto& [gateway, claim] : ledger.claims) ledger.stand(gateway);
+    for (const auto& [gateway, claim] : ledger.claims) ledger.update_shortfall(gateway);
   }
   books.ledgers->all() = std::move(state.ledgers);
   memory.servers = std::move(state.servers);
--- a/src/handover/module_state.h
+++ b/src/handover/module_state.h
@@ -39,11 +39,12 @@
 }
 template <typename Io>
 void fields(Io& io, Claim& c) {
-  io(c.life, c.number, c.turn, c.limit, c.used, c.weight, c.wanted, c.at, c.held_until);
+  io(c.generation, c.number, c.leader_epoch, c.limit, c.used, c.weight, c.wanted, c.updated_at, c.held_until);
 }
 template <typename Io>
 void fields(Io& io, Ledger& l) {
-  io(l.customer, l.plan, l.rate, l.burst, l.debt, l.level, l.parts, l.filled, l.opened, l.heard, l.claims);
+  io(l.customer, l.plan, l.rate, l.burst, l.debt, l.tokens, l.shards, l.refilled_at, l.opened_at,
+     l.requested_at, l.claims);
 }
 
 }  // namespace cranemux::ledger
--- a/src/ledger/account.h
+++ b/src/ledger/account.h
@@ -37,8 +37,8 @@
   Nanos hold_until = 0;   // until when what is held is held, once a keeper has told that it has none
   bool isolated = false;  // `level` is its even share, since no other gatekeeper is heard
   bool changed = false;   // what its keeper assumes of it has changed
-  Standing standing;      // what may be spent before it is asked for
-  Spender spender;        // where quotas are guarded: what stands in for `limit`
+  OptimisticLease optimistic_lease;  // what may be spent before it is asked for
+  GuardedQuota guarded_quota;        // where quotas are guarded: what stands in for `limit`
 };
 
 // Its requests name another plan from here on. Nothing is won by it: what is left stays, up to the new store,
@@ -48,7 +48,7 @@
     *left = std::min(*left, a.plan->burst);
   a.limit = a.plan->rate > 0 ? a.used_units : 0;
   a.answered_at = std::min(a.answered_at, a.requested_at);  // an even share comes with the next answer
-  a.standing = {};
+  a.optimistic_lease = {};
   ++a.leader_epoch;
 }
 
@@ -57,7 +57,7 @@
 inline bool has_place(const Account& a, int self, int members) {
   if (a.plan->open_limit <= 0 || a.plan->rate <= 0) return true;
   const int place = std::min((self - a.first + members) % members, a.spread - 1);
-  return a.open_attempts < even_part(a.plan->open_limit, place, a.spread);
+  return a.open_attempts < even_share(a.plan->open_limit, place, a.spread);
 }
 
 // What its customer may yet use, as far as is known here; nothing where its plan has no rate.
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -26,27 +26,28 @@
 
 inline double units_in(double rate, Time span) { return rate * static_cast<double>(span.count()) / 1e9; }
 
-struct Ask {
-  std::uint32_t life = 0;    // of the gatekeeper that asks
-  std::uint32_t number = 0;  // of its asks about this customer, counted up; 0 where they are not ordered
-  std::int64_t used = 0;     // in that life
-  double weight = 0;         // of what it holds
-  std::int64_t wanted = 0;   // by what it holds
-  std::uint32_t turn = 0;    // of the gatekeeper's changes of keeper in that life; 0 where it has one only
-  std::int64_t owed = 0;     // of `used`: beyond what its last keeper had granted
-  Time hold{0};              // what it holds without a credit is refused after so long
-  bool report = false;       // nobody waits for an answer
-  int share = kAll;          // of reports: that who sends it goes by, by a word of a keeper
-  double turned_away = 0;    // units, since the last report, by that word
+struct Demand {
+  std::uint32_t generation = 0;  // of the gatekeeper that asks
+  std::uint32_t number = 0;      // of its asks about this customer, counted up; 0 where they are not ordered
+  std::int64_t used = 0;         // in that life
+  double weight = 0;             // of what it holds
+  std::int64_t wanted = 0;       // by what it holds
+  std::uint32_t leader_epoch =
+      0;                       // of the gatekeeper's changes of keeper in that life; 0 where it has one only
+  std::int64_t overspent = 0;  // of `used`: beyond what its last keeper had granted
+  Time hold{0};                // what it holds without a credit is refused after so long
+  bool report = false;         // nobody waits for an answer
+  int share = kWholeShare;     // of reports: that who sends it goes by, by a word of a keeper
+  double units_shed = 0;       // units, since the last report, by that word
 };
 
 struct Claim {  // what a keeper knows of one gatekeeper's part in a ledger
-  std::uint32_t life = 0, number = 0, turn = 0;
+  std::uint32_t generation = 0, number = 0, leader_epoch = 0;
   std::int64_t limit = 0;  // units that it may have used in all that life, or attempts out at once
   std::int64_t used = 0;   // as last told
   double weight = 0, wanted = 0;
-  Time at{0}, held_until{0};
-  double lacks() const { return wanted - static_cast<double>(limit - used); }
+  Time updated_at{0}, held_until{0};
+  double shortfall() const { return wanted - static_cast<double>(limit - used); }
 };
 
 constexpr Time kAdopts =
@@ -56,60 +57,68 @@
   std::uint32_t customer = 0, plan = 0;  // the plan's number in the settings
   double rate = 0, burst = 0;            // of the plan, or of one of equal parts of it
   double debt = 0;                       // how far below nothing the level may go; 0 or less
-  double level = 0;                      // less what is granted
-  std::uint32_t parts = 1;
-  bool throttles = false;  // its keeper is set aside and tells all who is throttled
-  AskPacing pacing = {};
-  Slack slack = {};  // where no members are set aside; there:
-  Throttle throttle = {};
-  Time filled{0}, opened{0}, heard{0};
-  std::map<int, Claim> claims = {};  // by gatekeeper
-  std::set<int> lacking = {};        // of them: those that may wait for more than they have
+  double tokens = 0;                     // less what is granted
+  std::uint32_t shards = 1;
+  bool sheds_load = false;  // its keeper is set aside and tells all who is throttled
+  RequestPacing pacing = {};
+  LowWatermark low_watermark = {};  // where no members are set aside; there:
+  LoadShedder load_shedder = {};
+  Time refilled_at{0}, opened_at{0}, requested_at{0};
+  std::map<int, Claim> claims = {};      // by gatekeeper
+  std::set<int> gatekeepers_short = {};  // of them: those that may wait for more than they have
   std::set<std::tuple<int, std::uint32_t, std::uint64_t>> hands =
       {};  // taken over: from whom, its epoch, the number
 
   // `part`: of the store, where the rest is others' to give.
   void fill(Time now, double part = 1) {
-    if (level < burst * part)
-      level = std::min(burst * part, level + units_in(rate * part, now - filled));
+    if (tokens < burst * part)
+      tokens = std::min(burst * part, tokens + units_in(rate * part, now - refilled_at));
     else
-      level = std::min(level, burst * part);
-    filled = now;
+      tokens = std::min(tokens, burst * part);
+    refilled_at = now;
   }
-  bool tight(Time now) const { return slack.tight(now) || throttle.on(); }
-  void take(double units) { level = std::clamp(level - units, debt, burst); }
+  bool below_low_watermark(Time now) const { return low_watermark.below(now) || load_shedder.active(); }
+  void take(double units) { tokens = std::clamp(tokens - units, debt, burst); }
 
   // Has it heard all that this gatekeeper has asked about the customer? Not so where the gatekeeper is new,
   // or has turned to another keeper or spent its even share meanwhile. A new life of it knows no more than
   // this ledger does.
-  bool knows(int from, const Ask& ask) const {
+  bool has_current_claim(int from, const Demand& ask) const {
     const auto at = claims.find(from);
-    return at != claims.end() && (at->second.life != ask.life || at->second.turn >= ask.turn);
+    return at != claims.end() &&
+           (at->second.generation != ask.generation || at->second.leader_epoch >= ask.leader_epoch);
   }
   // What an ask changes: what was used beyond its limit is taken, what is no longer wanted comes back. False:
   // it was overtaken by a later one of the same life, and changes nothing.
-  bool merge(int from, const Ask& ask, Time now) {
+  bool merge(int from, const Demand& ask, Time now) {
     auto [at, first] = claims.try_emplace(from);
     auto& claim = at->second;
-    const bool lives = !first && claim.life == ask.life;
-    if (lives && ask.turn < claim.turn) return false;
-    const bool known = lives && ask.turn == claim.turn;
+    const bool lives = !first && claim.generation == ask.generation;
+    if (lives && ask.leader_epoch < claim.leader_epoch) return false;
+    const bool known = lives && ask.leader_epoch == claim.leader_epoch;
     if (known && ask.number != 0 && static_cast<std::int32_t>(ask.number - claim.number) < 0) return false;
-    const auto more = known ? ask.used - claim.used : ask.owed;
-    if (throttles && now - opened < kAdopts) throttle.adopt(ask.share, now);
-    if (throttles)
-      throttle.asked_for(ask.turned_away + static_cast<double>(std::max<std::int64_t>(0, more)), now);
+    const auto more = known ? ask.used - claim.used : ask.overspent;
+    if (sheds_load && now - opened_at < kAdopts) load_shedder.adopt(ask.share, now);
+    if (sheds_load)
+      load_shedder.record_demand(ask.units_shed + static_cast<double>(std::max<std::int64_t>(0, more)), now);
     // What an earlier life may still have used stays taken: nobody can say that it has not.
-    if (!known) claim.limit = ask.used - ask.owed;
+    if (!known) claim.limit = ask.used - ask.overspent;
     // Nor can what a grant that has lapsed left unused be used any more. It is not given back: the store has
     // filled beside it.
-    const bool lapsed = known && ask.number != 0 && now - claim.at > kCreditLife;
+    const bool lapsed = known && ask.number != 0 && now - claim.updated_at > kGuardedLeaseTime;
     if (lapsed) claim.limit = std::min(claim.limit, ask.used);
     const auto limit = std::max(ask.used, std::min(claim.limit, ask.used + ask.wanted));
     take(static_cast<double>(limit - claim.limit));
-    claim = {ask.life, ask.number,    ask.turn, limit, ask.used, ask.weight, static_cast<double>(ask.wanted),
-             now,      now + ask.hold};
-    stand(from);
+    claim = {ask.generation,
+             ask.number,
+             ask.leader_epoch,
+             limit,
+             ask.used,
+             ask.weight,
+             static_cast<double>(ask.wanted),
+             now,
+             now + ask.hold};
+    update_shortfall(from);
     return true;
   }
   // Its customer names another plan. Nothing is won by it: what is left stays, up to the new store; none
@@ -121,30 +130,30 @@
     rate = other.rate;
     burst = other.burst;
     debt = other.debt;
-    parts = other.parts;
-    level = units ? std::min(level, burst) : 0;
-    slack = {};
-    throttle = {};
+    shards = other.shards;
+    tokens = units ? std::min(tokens, burst) : 0;
+    low_watermark = {};
+    load_shedder = {};
     if (units) return;
     claims.clear();
-    lacking.clear();
+    gatekeepers_short.clear();
   }
   // Units that are granted and may still be spent, as far as was told: a grant ends with the ask that it
   // answers.
   double granted(Time now) const {
     std::int64_t out = 0;
     for (const auto& [gatekeeper, claim] : claims) {
-      if (now - claim.at <= kCreditLife) out += claim.limit - claim.used;
+      if (now - claim.updated_at <= kGuardedLeaseTime) out += claim.limit - claim.used;
     }
     return static_cast<double>(out);
   }
   // Whether that gatekeeper lacks something has changed, or may have.
-  void stand(int gatekeeper) {
+  void update_shortfall(int gatekeeper) {
     const auto at = claims.find(gatekeeper);
-    if (at != claims.end() && at->second.lacks() > 0)
-      lacking.insert(gatekeeper);
+    if (at != claims.end() && at->second.shortfall() > 0)
+      gatekeepers_short.insert(gatekeeper);
     else
-      lacking.erase(gatekeeper);
+      gatekeepers_short.erase(gatekeeper);
   }
 };
 
@@ -152,12 +161,12 @@
 // repeated. Between an ask and its answer it uses no more than the keeper will let stand, whatever it is
 // granted meanwhile; and no grant outlives the ask that it answers by more than `life`, so a stalled
 // gatekeeper returns with none.
-class Credit {
+class HeldLease {
  public:
-  explicit Credit(Time life) : life_(life) {}
+  explicit HeldLease(Time life) : life_(life) {}
 
   // An ask leaves: returns its number.
-  std::uint32_t ask(std::int64_t used, std::int64_t wanted, Time now) {
+  std::uint32_t request(std::int64_t used, std::int64_t wanted, Time now) {
     if (now >= until_) limit_ = used;  // lapsed: the keeper counts it no more
     ++number_;
     sent_[number_ % kKept] = now;
@@ -166,7 +175,7 @@
     return number_;
   }
   // `number`: of the ask that the keeper has seen last. False: nothing could be made of it.
-  bool granted(std::uint32_t number, std::int64_t limit, Time now) {
+  bool apply_grant(std::uint32_t number, std::int64_t limit, Time now) {
     const auto behind = number_ - number;
     if (behind >= kKept) return false;
     const auto until = sent_[number % kKept] + life_;
@@ -191,23 +200,23 @@
 
 // A gatekeeper's guaranteed part: what it may use while no keeper with the right can be reached. It is empty
 // at first, fills while it is on only, and is dropped when a keeper is there again.
-class Part {
+class FallbackShare {
  public:
-  void turn(bool on, Time now) {
+  void set_active(bool on, Time now) {
     if (on == on_) return;
     on_ = on;
     level_ = 0;
     filled_ = now;
   }
-  bool on() const { return on_; }
-  double level(double rate, double burst, Time now) const {
+  bool active() const { return on_; }
+  double available_tokens(double rate, double burst, Time now) const {
     return on_ ? std::min(burst, level_ + units_in(rate, now - filled_)) : 0;
   }
   bool covers(double units, double rate, double burst, Time now) const {
-    return on_ && level(rate, burst, now) >= units;
+    return on_ && available_tokens(rate, burst, now) >= units;
   }
   void spend(double units, double rate, double burst, Time now) {
-    level_ = level(rate, burst, now) - units;
+    level_ = available_tokens(rate, burst, now) - units;
     filled_ = now;
   }
 
@@ -219,32 +228,32 @@
 
 // What a gatekeeper may use of one customer's guarded quota: by grants, or of its part. `rate` and `burst`
 // are the part's.
-struct Spender {
-  Credit credit{kCreditLife};
-  Part part;
-  Time unkept_until{-1};  // its keeper has said that it has no right
+struct GuardedQuota {
+  HeldLease lease{kGuardedLeaseTime};
+  FallbackShare fallback_share;
+  Time no_leader_until{-1};  // its keeper has said that it has no right
 
   bool covers(std::int64_t used, double units, double rate, double burst, Time now) const {
-    return credit.covers(used, std::llround(units), now) || part.covers(units, rate, burst, now);
+    return lease.covers(used, std::llround(units), now) || fallback_share.covers(units, rate, burst, now);
   }
   // True: by a grant, and so to be told as used; false: of the part.
   bool spend(std::int64_t used, double units, double rate, double burst, Time now) {
-    if (credit.covers(used, std::llround(units), now)) return true;
-    part.spend(units, rate, burst, now);
+    if (lease.covers(used, std::llround(units), now)) return true;
+    fallback_share.spend(units, rate, burst, now);
     return false;
   }
   void refused(std::uint32_t number, Time now) {
-    if (number == credit.number()) unkept_until = now + kRefusalHolds;
+    if (number == lease.number()) no_leader_until = now + kRefusalTime;
   }
   // The part is on while nobody who is reached has the right.
-  void turn(const Rights& rights, std::uint32_t customer, int self, Time now) {
-    const bool kept = rights.keeper(customer) == self ? rights.holds(customer, now) : now >= unkept_until;
-    part.turn(rights.settled(now) && !kept, now);
+  void update_fallback(const Rights& rights, std::uint32_t customer, int self, Time now) {
+    const bool kept = rights.keeper(customer) == self ? rights.holds(customer, now) : now >= no_leader_until;
+    fallback_share.set_active(rights.settled(now) && !kept, now);
   }
 };
 
 // A ledger's level on its way to its keeper: told some times against loss, and taken once.
-struct Hand {
+struct PendingTransfer {
   std::uint32_t customer = 0, plan = 0;
   std::uint64_t level = 0, number = 0;  // the level in hundredths of a unit
   int times = 0;
@@ -258,30 +267,32 @@
   explicit Ledgers(const Rights* rights) : rights_(rights) {}
 
   // May it keep that customer's, now?
-  bool holds(std::uint32_t customer, Time now) const { return !rights_ || rights_->holds(customer, now); }
+  bool has_leadership(std::uint32_t customer, Time now) const {
+    return !rights_ || rights_->holds(customer, now);
+  }
   // Opens it where there is none: full, or empty where quotas are guarded, since another may have given all.
   Ledger& open(const Ledger& fresh, Time now) {
     auto [at, made] = all_.try_emplace(fresh.customer, fresh);
     auto& ledger = at->second;
     if (!made && !rights_ && ledger.plan != fresh.plan) ledger.go_by(fresh, now);
     if (!made) return ledger;
-    ledger.level = rights_ ? 0 : fresh.burst;
+    ledger.tokens = rights_ ? 0 : fresh.burst;
     if (rights_) ledger.debt = kAllPaidBack;
-    ledger.filled = ledger.opened = ledger.heard = now;
+    ledger.refilled_at = ledger.opened_at = ledger.requested_at = now;
     return ledger;
   }
   // Without the right nothing fills; and what others do not vote this keeper for is theirs to fill.
   void fill(Ledger& ledger, Time now) const {
     if (!rights_) return ledger.fill(now);
-    ledger.filled = std::max(ledger.filled, now - kRefusalHolds);  // as after a stall
+    ledger.refilled_at = std::max(ledger.refilled_at, now - kRefusalTime);  // as after a stall
     if (!rights_->holds(ledger.customer, now)) {
-      ledger.filled = now;
+      ledger.refilled_at = now;
       return;
     }
     const double missing = rights_->missing(ledger.customer, now);
     ledger.fill(now, 1.0 - missing / rights_->members());
     // Credits that wait to be spent are still of the burst: it does not fill again beside them.
-    ledger.level = std::min(ledger.level, std::max(0.0, ledger.burst - ledger.granted(now)));
+    ledger.tokens = std::min(ledger.tokens, std::max(0.0, ledger.burst - ledger.granted(now)));
   }
 
   std::map<std::uint32_t, Ledger>& all() { return all_; }
@@ -289,39 +300,39 @@
 
   // Claims that nothing was heard of for half of `after` go, and full ledgers that nobody asked about for so
   // long; a part of all ledgers at each call.
-  void forget(Time now, Time after) {
+  void erase_idle(Time now, Time after) {
     erase_some(all_, swept_, [&](auto& item) {
       auto& ledger = item.second;
       std::erase_if(ledger.claims, [&](const auto& c) {
-        if (now - c.second.at <= after / 2) return false;
-        ledger.lacking.erase(c.first);
+        if (now - c.second.updated_at <= after / 2) return false;
+        ledger.gatekeepers_short.erase(c.first);
         return true;
       });
-      return now - ledger.heard > after && (ledger.rate <= 0 || ledger.level >= ledger.burst);
+      return now - ledger.requested_at > after && (ledger.rate <= 0 || ledger.tokens >= ledger.burst);
     });
   }
 
   // Ledgers whose keeper is another leave this one, but for those that have only just come to it, since who
   // gave them will be gone. At a planned end all do.
-  void hand_over(int self, bool ends, Time now) {
+  void start_transfers(int self, bool ends, Time now) {
     for (auto at = all_.begin(); at != all_.end();) {
       auto& ledger = at->second;
-      const bool stays = rights_->keeper(ledger.customer) == self || now - ledger.opened < kStays;
+      const bool stays = rights_->keeper(ledger.customer) == self || now - ledger.opened_at < kStays;
       if (stays && !ends) {
         ++at;
         continue;
       }
       if (ends) fill(ledger, now);
-      const auto level = static_cast<std::uint64_t>(std::max(0.0, ledger.level) * kHandSteps);
-      if (ledger.rate > 0 && level > 0) {
-        hands_.push_back({ledger.customer, ledger.plan, level, ++handed_, 0, now});
+      const auto tokens = static_cast<std::uint64_t>(std::max(0.0, ledger.tokens) * kHandSteps);
+      if (ledger.rate > 0 && tokens > 0) {
+        hands_.push_back({ledger.customer, ledger.plan, tokens, ++handed_, 0, now});
       }
       at = all_.erase(at);
     }
   }
   // What is due is written; three times each.
   template <typename Write>
-  void hand(int self, Time now, const Write& write) {
+  void send_transfers(int self, Time now, const Write& write) {
     for (auto& h : hands_) {
       const int keeper = rights_->heir(h.customer, self);
       if (now < h.due || keeper < 0) continue;
@@ -329,18 +340,18 @@
       ++h.times;
       h.due = now + kHandAgain;
     }
-    std::erase_if(hands_, [](const Hand& h) { return h.times >= kHandTimes; });
+    std::erase_if(hands_, [](const PendingTransfer& h) { return h.times >= kHandTimes; });
   }
-  bool hands() const { return !hands_.empty(); }
-  std::uint64_t handed() const { return handed_; }
-  std::uint64_t taken() const { return taken_; }
+  bool has_transfers() const { return !hands_.empty(); }
+  std::uint64_t transfers_started() const { return handed_; }
+  std::uint64_t transfers_received() const { return taken_; }
   // True: it was taken for the first time.
-  bool take_over(Ledger& ledger, int from, std::uint32_t epoch, std::uint64_t level, std::uint64_t number,
-                 Time now) {
+  bool receive_transfer(Ledger& ledger, int from, std::uint32_t epoch, std::uint64_t tokens,
+                        std::uint64_t number, Time now) {
     if (!ledger.hands.insert({from, epoch, number}).second) return false;
     fill(ledger, now);
     ++taken_;
-    ledger.level = std::min(ledger.burst, ledger.level + static_cast<double>(level) / kHandSteps);
+    ledger.tokens = std::min(ledger.burst, ledger.tokens + static_cast<double>(tokens) / kHandSteps);
     return true;
   }
 
@@ -352,7 +363,7 @@
   const Rights* rights_;
   std::map<std::uint32_t, Ledger> all_;
   std::uint32_t swept_ = 0;
-  std::vector<Hand> hands_;
+  std::vector<PendingTransfer> hands_;
   std::uint64_t handed_ = 0, taken_ = 0;
 };
 
--- a/src/ledger/load_shedding.h
+++ b/src/ledger/load_shedding.h
@@ -22,48 +22,50 @@
 
 namespace cranemux::ledger {
 
-constexpr int kAll = 100;  // shares travel in hundredths; all of them: its store is far from empty
+constexpr int kWholeShare = 100;  // shares travel in hundredths; all of them: its store is far from empty
 
 // At the keeper, for one ledger: which share of what is asked for fills at the plan's rate, and a little more
 // or less as the store is above or below its aim.
-class Throttle {
+class LoadShedder {
  public:
   // So many units were asked for, whether they were let through or refused.
-  void asked_for(double units, Time now) {
+  void record_demand(double units, Time now) {
     pass(now);
     demand_ += units / kMemory;
   }
   // As a keeper that has just begun to keep it: a gatekeeper goes by `share`, which another keeper has told.
   void adopt(int share, Time now) {
-    if (on() || share >= kAll) return;
+    if (active() || share >= kWholeShare) return;
     say(share, now);
     on_until_ = now + holds_;
   }
   // The share that all are to be told, where it is news.
-  std::optional<int> look(double level, double rate, double burst, Time now) {
+  std::optional<int> update(double level, double rate, double burst, Time now) {
     pass(now);
     const double known =
         1 - std::exp(-seconds(now - began_) / kMemory);  // of the memory, since the first word
     const double demand = known > 0 ? demand_ / known : 0;
     const double want = rate * std::max(0.0, 1 + kGain * (level / std::max(burst, 1e-9) - kAim));
-    const int share = demand > want ? std::clamp(static_cast<int>(kAll * want / demand), 1, kAll) : kAll;
-    if (!on()) {
+    const int share = demand > want
+                          ? std::clamp(static_cast<int>(kWholeShare * want / demand), 1, kWholeShare)
+                          : kWholeShare;
+    if (!active()) {
       if (level >= kTight * burst || share > kLeastNews) return std::nullopt;
       holds_ = now - said_at_ < 2 * holds_ ? std::min<Time>(2 * holds_, kLongest) : kShortest;
       on_until_ = now + holds_;
       return say(share, now);
     }
     if (share <= kLeastNews) on_until_ = now + holds_;
-    if (now >= on_until_ && level >= kRelaxed * burst) return say(kAll, now);
+    if (now >= on_until_ && level >= kRelaxed * burst) return say(kWholeShare, now);
     // What a few requests of one to four units move by themselves is no news.
     const double noise = kNoise / std::sqrt(std::max(1.0, std::min(demand * kMemory, burst / 2)));
     const bool other = std::abs(share - said_) > std::max(1.0, (kNews + noise) * std::min(share, said_));
     const auto since = now - said_at_;
     if (since < kAgain && !(other && since >= spacing(rate))) return std::nullopt;
-    return say(std::min(share, kAll - 1), now);
+    return say(std::min(share, kWholeShare - 1), now);
   }
-  bool on() const { return said_ < kAll; }
-  int said() const { return said_; }
+  bool active() const { return said_ < kWholeShare; }
+  int announced_share() const { return said_; }
 
  private:
   static constexpr double kTight = 0.4, kRelaxed = 0.6, kAim = 0.25;  // of the store
@@ -75,7 +77,7 @@
   static constexpr double kNoise = 1;   // ... of units that come by one to four
   static constexpr Time kLeast = std::chrono::milliseconds(750), kMost = std::chrono::seconds(5);
   static constexpr double kFills = 8;                       // units
-  static constexpr Time kAgain = std::chrono::seconds(25);  // twice while ThrottleList keeps a word
+  static constexpr Time kAgain = std::chrono::seconds(25);  // twice while ShedTable keeps a word
 
   static double seconds(Time span) { return static_cast<double>(span.count()) / 1e9; }
   void pass(Time now) {
@@ -94,57 +96,57 @@
 
   double demand_ = 0;  // units a second, by the memory
   Time began_{-1}, at_{-1}, said_at_{-1}, on_until_{-1}, holds_{kShortest};
-  int said_ = kAll;
+  int said_ = kWholeShare;
 };
 
-struct ThrottleWord {
+struct ShedNotice {
   std::uint32_t plan = 0;  // its number in the settings
   std::uint32_t customer = 0;
-  int share = kAll;
+  int share = kWholeShare;
 };
 
 // At a member set aside: one log for all, and how far each gatekeeper has heard it.
-class ThrottleLog {
+class ShedNoticeLog {
  public:
-  static constexpr std::size_t kKept = 8192;  // words; a gatekeeper further behind misses the oldest
+  static constexpr std::size_t kCapacity = 8192;  // words; a gatekeeper further behind misses the oldest
 
-  explicit ThrottleLog(int gatekeepers = 0) : next_(static_cast<std::size_t>(gatekeepers), 0) {}
+  explicit ShedNoticeLog(int gatekeepers = 0) : next_(static_cast<std::size_t>(gatekeepers), 0) {}
 
-  void add(const ThrottleWord& word) {
+  void add(const ShedNotice& word) {
     words_.push_back(word);
-    if (words_.size() <= kKept) return;
+    if (words_.size() <= kCapacity) return;
     words_.pop_front();
     ++first_;
   }
-  bool behind(int to) const { return next_[static_cast<std::size_t>(to)] < first_ + words_.size(); }
+  bool has_unsent(int to) const { return next_[static_cast<std::size_t>(to)] < first_ + words_.size(); }
   // What that gatekeeper has not heard, the oldest first, as far as `room` goes for words of `size`.
   template <typename Write>
-  void ride(int to, std::size_t room, std::size_t size, const Write& write) {
+  void piggyback(int to, std::size_t room, std::size_t size, const Write& write) {
     auto& next = next_[static_cast<std::size_t>(to)];
     missed_ += first_ - std::min(first_, next);
     next = std::max(first_, next);
-    for (; behind(to) && room >= size; room -= size, ++next) write(words_[next - first_]);
+    for (; has_unsent(to) && room >= size; room -= size, ++next) write(words_[next - first_]);
   }
   std::uint64_t missed() const { return missed_; }  // words, over all gatekeepers
 
  private:
-  std::deque<ThrottleWord> words_;
+  std::deque<ShedNotice> words_;
   std::uint64_t first_ = 0;  // the number of the oldest kept
   std::vector<std::uint64_t> next_;
   std::uint64_t missed_ = 0;
 };
 
 // At a gatekeeper: what it has been told lately, also of customers that it has not met.
-class ThrottleList {
+class ShedTable {
  public:
-  static constexpr Time kCounts = std::chrono::seconds(60);  // said again sooner, while it holds
-  static constexpr std::size_t kMost = 32768;                // customers; past it the next ones are not noted
+  static constexpr Time kEntryLifetime = std::chrono::seconds(60);  // said again sooner, while it holds
+  static constexpr std::size_t kMaxCustomers = 32768;  // customers; past it the next ones are not noted
 
-  void heard(std::uint32_t customer, int share, Time now) {
-    if (share >= kAll) {
+  void update(std::uint32_t customer, int share, Time now) {
+    if (share >= kWholeShare) {
       told_.erase(customer);
-    } else if (told_.size() < kMost || told_.contains(customer)) {
-      told_[customer] = {share, now + kCounts};
+    } else if (told_.size() < kMaxCustomers || told_.contains(customer)) {
+      told_[customer] = {share, now + kEntryLifetime};
     } else {
       ++dropped_;
     }
@@ -155,7 +157,7 @@
     return at != told_.end() && now < at->second.until ? std::optional(at->second.share) : std::nullopt;
   }
   // A part of them at each call.
-  void forget(Time now) {
+  void erase_expired(Time now) {
     erase_some(told_, swept_, [&](const auto& item) { return now >= item.second.until; });
   }
   std::size_t size() const { return told_.size(); }
@@ -163,7 +165,7 @@
 
  private:
   struct Told {
-    int share = kAll;
+    int share = kWholeShare;
     Time until{0};
   };
   std::map<std::uint32_t, Told> told_;
--- a/src/ledger/optimistic_lease.h
+++ b/src/ledger/optimistic_lease.h
@@ -16,17 +16,17 @@
 namespace cranemux::ledger {
 
 // At the keeper: may it be spent before it is asked for?
-class Slack {
+class LowWatermark {
  public:
   // The level, of a store of `burst`, has changed. True: it has just become tight, which others must hear.
-  bool look(double level, double burst, Time now) {
+  bool update(double level, double burst, Time now) {
     if (level >= kTight * burst) return false;
-    const bool news = !tight(now);
+    const bool news = !below(now);
     if (news) holds_ = now - until_ < 2 * holds_ ? std::min<Time>(2 * holds_, kLongest) : kShortest;
     until_ = now + holds_;
     return news;
   }
-  bool tight(Time now) const { return now < until_; }
+  bool below(Time now) const { return now < until_; }
 
  private:
   static constexpr double kTight = 0.4;  // of the store: the rest goes while the word is on its way
@@ -35,49 +35,49 @@
 };
 
 // At a gatekeeper.
-class Standing {
+class OptimisticLease {
  public:
-  static constexpr Time kCounts = std::chrono::seconds(300);  // a keeper's word, before it is asked again
+  static constexpr Time kValidity = std::chrono::seconds(300);  // a keeper's word, before it is asked again
 
   // The keeper's word; `share`: units of it that may be spent whether it is heard or not.
-  void told(bool open, double share, Time now) {
-    until_ = open ? now + kCounts : Time(-1);
+  void update(bool open, double share, Time now) {
+    until_ = open ? now + kValidity : Time(-1);
     if (open) throttled_until_ = Time(-1);
     unsaid_ = false;
     half_ = share / 2;
   }
-  bool open(Time now) const { return now < until_; }
+  bool active(Time now) const { return now < until_; }
   // A word to all (load_shedding.h): `part` of its requests, from 0 to 1, may go, the others not; 1: it is
   // open.
-  void throttle(double part, Time now) {
+  void shed(double part, Time now) {
     part_ = part;
-    throttled_until_ = part < 1 ? now + ThrottleList::kCounts : Time(-1);
-    until_ = part < 1 ? Time(-1) : now + kCounts;
+    throttled_until_ = part < 1 ? now + ShedTable::kEntryLifetime : Time(-1);
+    until_ = part < 1 ? Time(-1) : now + kValidity;
   }
-  bool throttled(Time now) const { return now < throttled_until_; }
-  double part() const { return part_; }
+  bool shedding(Time now) const { return now < throttled_until_; }
+  double admitted_share() const { return part_; }
   // `lot`: of a request, even from 0 to 1.
-  bool lets(double lot) const { return lot < part_; }
+  bool admits(double lot) const { return lot < part_; }
   // Refused so: its keeper goes by what is asked for.
-  void turn_away(double units, Time now) {
+  void record_shed(double units, Time now) {
     turned_away_ += units;
     gather(now);
   }
-  double turned_away() const { return turned_away_; }  // units since the last report
+  double units_shed() const { return turned_away_; }  // units since the last report
   // Is there nothing to ask, only to report when it is `due`?
-  bool reports(Time now) const { return open(now) || throttled(now); }
+  bool only_reports(Time now) const { return active(now) || shedding(now); }
   // `level`: of the store of `burst` as this gatekeeper knows it; `heard`: the keeper has left no question
   // unanswered; `share`: what is left of it.
   bool covers(double units, double share, double level, double burst, bool heard, Time now) const {
-    return open(now) && level - units >= kLeast * burst && (heard || share >= units);
+    return active(now) && level - units >= kLeast * burst && (heard || share >= units);
   }
   // It was spent so, and this is left of the share.
   void spend(double share, Time now) {
     gather(now);
-    if (wants_word(share, now)) due_ = std::min(due_, now);
+    if (needs_renewal(share, now)) due_ = std::min(due_, now);
   }
   // Half of the share is used up: word is wanted, not only a report.
-  bool wants_word(double share, Time now) const { return share < half_ && !throttled(now); }
+  bool needs_renewal(double share, Time now) const { return share < half_ && !shedding(now); }
   Time due() const { return due_; }  // the report, or the question
   void reported() {
     unsaid_ = false;
--- a/src/ledger/quota_bound.cpp
+++ b/src/ledger/quota_bound.cpp
@@ -19,11 +19,11 @@
   const int n = tier.gatekeepers;
   // What was granted in the life of a credit before the window may be used in it.
   out.terms.push_back(
-      {"grants made before the window", "rate × credit life", units_in(plan.rate, kCreditLife)});
+      {"grants made before the window", "rate × credit life", units_in(plan.rate, kGuardedLeaseTime)});
   if (n > 1) {
     // Whoever has turned to its part learns late that a keeper counts it again. Of a tier less than half can
     // be at that at once while a keeper has the right.
-    const auto overlap = kRefusalHolds + 2 * tier.delay;
+    const auto overlap = kRefusalTime + 2 * tier.delay;
     const int beside = (n - 1) / 2;
     out.terms.push_back({"parts that a keeper fills again already",
                          "(n-1)/2 × rate / n × (refusal holds + 2 × delay)",
@@ -34,7 +34,7 @@
     out.lost.push_back({"until another keeper has the right", "rate × (silence + 2 × quiet)",
                         units_in(plan.rate, beats.silence + 2 * beats.quiet)});
     out.lost.push_back({"of a gatekeeper that ends", "its grants not used: rate × credit life",
-                        units_in(plan.rate, kCreditLife)});
+                        units_in(plan.rate, kGuardedLeaseTime)});
     out.lost.push_back(
         {"a smaller side of a split, beyond its part", "(1 - side / n) of the rate while it lasts", 0});
   }
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-Bound bound_of(const Tier& tier, const Plan& plan) {
+Bound compute_bound(const Tier& tier, const Plan& plan) {
   auto out = tier.guarded ? guarded(tier, plan) : trusting(tier, plan);
   for (const auto& term : out.terms) out.units += term.units;
   return out;
--- a/src/ledger/quota_bound.h
+++ b/src/ledger/quota_bound.h
@@ -36,9 +36,10 @@
   std::vector<Term> lost;
 };
 
-Bound bound_of(const Tier& tier, const Plan& plan);
+Bound compute_bound(const Tier& tier, const Plan& plan);
 
-constexpr Time kCreditLife = std::chrono::milliseconds(250);    // of a grant, from the ask that it answers
-constexpr Time kRefusalHolds = std::chrono::milliseconds(500);  // a keeper's word that it has no right
+constexpr Time kGuardedLeaseTime =
+    std::chrono::milliseconds(250);                            // of a grant, from the ask that it answers
+constexpr Time kRefusalTime = std::chrono::milliseconds(500);  // a keeper's word that it has no right
 
 }  // namespace cranemux::ledger
--- a/src/ledger/quota_state.h
+++ b/src/ledger/quota_state.h
@@ -24,7 +24,7 @@
   std::unique_ptr<Mail> mail;  // from the start on
   std::unique_ptr<Ledgers> ledgers;
   std::unique_ptr<Leaders> leaders;  // from the start on
-  ThrottleList throttled;            // where members are set aside
+  ShedTable throttled;               // where members are set aside
   std::uint32_t swept = 0;           // accounts, up to there
 
   // A customer's first request here, where all are told who is throttled: who is not may spend before it is
@@ -32,15 +32,15 @@
   void meet(Account& a, double share, Time now) const {
     if (a.plan->rate <= 0) return;
     a.borrowable = share;
-    a.standing.told(true, share, now);
-    if (const auto part = throttled.share(a.hash, now)) a.standing.throttle(part_of(*part), now);
+    a.optimistic_lease.update(true, share, now);
+    if (const auto part = throttled.share(a.hash, now)) a.optimistic_lease.shed(part_of(*part), now);
   }
-  void throttle(const ThrottleWord& word, Time now) {
-    throttled.heard(word.customer, word.share, now);
+  void throttle(const ShedNotice& word, Time now) {
+    throttled.update(word.customer, word.share, now);
     const auto a = accounts.find(word.customer);
-    if (a != accounts.end()) a->second.standing.throttle(part_of(word.share), now);
+    if (a != accounts.end()) a->second.optimistic_lease.shed(part_of(word.share), now);
   }
-  static double part_of(int share) { return static_cast<double>(share) / kAll; }
+  static double part_of(int share) { return static_cast<double>(share) / kWholeShare; }
 };
 
 }  // namespace cranemux::ledger
--- a/src/ledger/report.cpp
+++ b/src/ledger/report.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::string report(const Mail& mail, const Ledgers& ledgers, std::size_t on_parts, Time now) {
+std::string tier_report(const Mail& mail, const Ledgers& ledgers, std::size_t on_parts, Time now) {
   std::ostringstream out;
   out.precision(1);
   out << std::fixed;
@@ -46,10 +46,10 @@
   }
   out << "tier: " << words_of(members.trouble(now)) << '\n';
   const auto& all = ledgers.all();
-  const auto held =
-      std::count_if(all.begin(), all.end(), [&](const auto& item) { return ledgers.holds(item.first, now); });
+  const auto held = std::count_if(all.begin(), all.end(),
+                                  [&](const auto& item) { return ledgers.has_leadership(item.first, now); });
   out << "ledgers " << all.size() << ", with the right to keep " << held << ", handed over "
-      << ledgers.handed() << ", taken over " << ledgers.taken() << '\n';
+      << ledgers.transfers_started() << ", taken over " << ledgers.transfers_received() << '\n';
   out << "customers on this gatekeeper's part " << on_parts << '\n';
   return out.str();
 }
--- a/src/ledger/request_pacing.h
+++ b/src/ledger/request_pacing.h
@@ -14,16 +14,16 @@
 
 constexpr Time kPauseStep = std::chrono::milliseconds(50);  // on the wire
 
-class AskPacing {
+class RequestPacing {
  public:
-  struct Terms {
+  struct Load {
     double rate = 0;       // of the ledger, units a second
     double most_asks = 1;  // a second, that one gatekeeper can hear
     int gatekeepers = 1;   // of the tier
     std::size_t askers = 1;
   };
   // An ask has come.
-  void asked(const Terms& terms, Time now) {
+  void record_request(const Load& terms, Time now) {
     // Few gatekeepers have messages to spare for every customer, and cannot ask too often if each waits its
     // turn.
     const double spare = terms.most_asks * std::min(1.0, kFew / std::max(1, terms.gatekeepers - 1));
--- a/src/ledger/shards.h
+++ b/src/ledger/shards.h
@@ -14,7 +14,7 @@
 // `rate` and `burst`: of the plan, units a second and units; each unit a question at worst. `most_units`: of
 // one request; a part holds two such. `messages_per_s`: that one gatekeeper takes in. `spread`: gatekeepers
 // of the customer.
-inline int parts_of(double rate, double burst, double most_units, double messages_per_s, int spread) {
+inline int shard_count(double rate, double burst, double most_units, double messages_per_s, int spread) {
   const double asks = std::max(1.0, kAsksOfPart * messages_per_s);
   const double most = std::min(spread / kGatekeepersOfPart, burst / (2 * most_units));
   return std::max(1, static_cast<int>(std::min(std::ceil(rate / asks), std::floor(most))));
--- a/src/ledger/split.h
+++ b/src/ledger/split.h
@@ -15,19 +15,19 @@
 constexpr double kWeightSteps = 16;   // weights travel in steps of 1/16
 
 // Of one held request.
-inline double weight_of(double units, double most_units) {
+inline double request_weight(double units, double most_units) {
   return std::max(0.0, std::log10(kWeightScale * most_units / std::max(units, 1e-9)));
 }
 
 // Of places that cannot be told of in time: one at least, and the first of the set have what is left over.
-inline int even_part(int whole, int place, int spread) {
+inline int even_share(int whole, int place, int spread) {
   return std::max(1, (whole + spread - 1 - place) / spread);
 }
 
-struct SplitTerms {
+struct SplitOptions {
   double most_units = 1;  // of one request
   int open_limit = 0;     // > 0: places of attempts out at once are split, not units
-  int asker = -1;         // whose question this answers; -1: nobody's
+  int requester = -1;     // whose question this answers; -1: nobody's
 };
 
 constexpr Time kPlaceHolds = std::chrono::seconds(1);  // a told attempt that is out stands for this long
@@ -36,7 +36,7 @@
 // By weight, rounded up to whole requests; what that gives too much is taken off again, one request each from
 // the lowest draws. Who has most likely refused by now what it held gets nothing: its credit would lie there
 // until it asks again. Raises the limits of those that get something, and names them.
-inline std::vector<int> split(Ledger& ledger, const SplitTerms& terms, Time now, std::mt19937_64& random) {
+inline std::vector<int> split(Ledger& ledger, const SplitOptions& terms, Time now, std::mt19937_64& random) {
   struct Share {
     std::uint64_t draw;
     int gatekeeper;
@@ -44,22 +44,22 @@
   };
   std::vector<Share> shares;
   const bool places = terms.open_limit > 0;
-  double weights = 0, given = 0, d = places ? terms.open_limit : std::floor(ledger.level + kRounding);
+  double weights = 0, given = 0, d = places ? terms.open_limit : std::floor(ledger.tokens + kRounding);
   for (auto at = ledger.claims.begin(); places && at != ledger.claims.end(); ++at) {
-    if (now - at->second.at < kPlaceHolds) d -= static_cast<double>(at->second.limit);
+    if (now - at->second.updated_at < kPlaceHolds) d -= static_cast<double>(at->second.limit);
   }
-  if (terms.asker >= 0) ledger.stand(terms.asker);
+  if (terms.requester >= 0) ledger.update_shortfall(terms.requester);
   // A ledger has hundreds of claims, and few that lack anything.
-  for (auto at = ledger.lacking.begin(); at != ledger.lacking.end();) {
+  for (auto at = ledger.gatekeepers_short.begin(); at != ledger.gatekeepers_short.end();) {
     const int gatekeeper = *at;
     const auto& claim = ledger.claims.at(gatekeeper);
-    if (gatekeeper != terms.asker && now > claim.held_until) {
-      at = ledger.lacking.erase(at);  // until it asks again
+    if (gatekeeper != terms.requester && now > claim.held_until) {
+      at = ledger.gatekeepers_short.erase(at);  // until it asks again
       continue;
     }
     ++at;
     weights += claim.weight;
-    const double lacks = claim.lacks();
+    const double lacks = claim.shortfall();
     shares.push_back({random(), gatekeeper, places ? 1 : std::min(lacks, terms.most_units), lacks});
   }
   for (auto& share : shares) {
@@ -76,7 +76,7 @@
     if (share.units <= 0) continue;
     ledger.claims.at(share.gatekeeper).limit += std::llround(share.units);
     if (!places) ledger.take(share.units);
-    ledger.stand(share.gatekeeper);
+    ledger.update_shortfall(share.gatekeeper);
     out.push_back(share.gatekeeper);
   }
   return out;
--- a/src/ledger/transport.cpp
+++ b/src/ledger/transport.cpp
@@ -29,7 +29,7 @@
   return out;
 }
 
-Entry entry_of(const ThrottleWord& word) {
+Entry entry_of(const ShedNotice& word) {
   return {word.plan, word.customer, ShedShare{static_cast<std::uint64_t>(word.share)}};
 }
 
@@ -70,7 +70,7 @@
   if (most_head() + entries.size() + out.size() <= most_body()) entries += out;
 }
 
-void Mail::tell(int to, const ThrottleWord& word) { write(to, entry_of(word)); }
+void Mail::tell(int to, const ShedNotice& word) { write(to, entry_of(word)); }
 
 std::string Mail::message(int to, Time now) {
   auto out = body(to, now);
@@ -89,8 +89,8 @@
     put_fixed(out, terms_.life, 2);
     out += entries;
     if (to < tells_) {
-      words_.ride(to, most_body() - std::min(most_body(), out.size()), kShedShareBytes,
-                  [&](const ThrottleWord& word) { append(out, entry_of(word), terms_.guarded); });
+      words_.piggyback(to, most_body() - std::min(most_body(), out.size()), kShedShareBytes,
+                       [&](const ShedNotice& word) { append(out, entry_of(word), terms_.guarded); });
     }
     return out;
   }
@@ -111,7 +111,7 @@
   looked_ = now;
   for (int to = 0; to < tells_; ++to) {
     const auto since = now - peers_[static_cast<std::size_t>(to)].posted;
-    if (since >= kSigns || (since >= kWordsGather && words_.behind(to))) call(to);
+    if (since >= kSigns || (since >= kWordsGather && words_.has_unsent(to))) call(to);
   }
 }
 
--- a/src/ledger/transport.h
+++ b/src/ledger/transport.h
@@ -40,8 +40,8 @@
 
   void write(int to, const Entry& entry);
   // Of a member set aside: all gatekeepers are to hear it, with whatever goes to them next, or soon.
-  void tell(const ThrottleWord& word) { words_.add(word); }
-  void tell(int to, const ThrottleWord& word);
+  void tell(const ShedNotice& word) { words_.add(word); }
+  void tell(int to, const ShedNotice& word);
   // Lets go what the budget allows, the longest waiting first.
   void post(Time now, const std::function<void(int to, std::string bytes)>& send);
   bool waits() const { return !posts_.empty(); }
@@ -79,7 +79,7 @@
   std::vector<Peer> peers_;
   const int tells_;  // the first so many members hear from it who is throttled
   std::deque<int> posts_;
-  ThrottleLog words_;
+  ShedNoticeLog words_;
   Time looked_{0};     // at who is to hear of them
   double stamps_ = 1;  // messages that may go now
   Time posted_;
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -41,40 +41,41 @@
 // ---- parts of a ledger, pacing, the split ----
 
 TEST(parts, follow_the_plan_and_the_gatekeepers_that_ask) {
-  EXPECT_EQ(parts_of(41, 80, 8, 40, 4), 1);     // few gatekeepers: one keeper hears them all
-  EXPECT_EQ(parts_of(2, 9, 2, 24, 300), 1);     // few questions
-  EXPECT_EQ(parts_of(35, 98, 2, 24, 300), 12);  // three a second each
-  EXPECT_EQ(parts_of(35, 98, 2, 24, 64), 4);    // sixteen gatekeepers for a part
-  EXPECT_EQ(parts_of(35, 98, 8, 24, 300), 6);   // a part holds two of the largest requests
-  EXPECT_EQ(parts_of(35, 10, 8, 24, 300), 1);
+  EXPECT_EQ(shard_count(41, 80, 8, 40, 4), 1);     // few gatekeepers: one keeper hears them all
+  EXPECT_EQ(shard_count(2, 9, 2, 24, 300), 1);     // few questions
+  EXPECT_EQ(shard_count(35, 98, 2, 24, 300), 12);  // three a second each
+  EXPECT_EQ(shard_count(35, 98, 2, 24, 64), 4);    // sixteen gatekeepers for a part
+  EXPECT_EQ(shard_count(35, 98, 8, 24, 300), 6);   // a part holds two of the largest requests
+  EXPECT_EQ(shard_count(35, 10, 8, 24, 300), 1);
 }
 
 TEST(pacing, follows_how_often_it_is_asked_and_forgets) {
-  const AskPacing::Terms terms{2, 24, 300, 200};
-  AskPacing pacing;
+  const RequestPacing::Load terms{2, 24, 300, 200};
+  RequestPacing pacing;
   Time now = 100s;
-  for (int i = 0; i < 100; ++i) pacing.asked(terms, now += 500ms);  // what two units a second can serve
+  for (int i = 0; i < 100; ++i)
+    pacing.record_request(terms, now += 500ms);  // what two units a second can serve
   EXPECT_LT(pacing.pause(), 50ms);
-  for (int i = 0; i < 200; ++i) pacing.asked(terms, now += 20ms);  // 50 a second
+  for (int i = 0; i < 200; ++i) pacing.record_request(terms, now += 20ms);  // 50 a second
   EXPECT_GT(pacing.pause(), 2s);
   EXPECT_LE(pacing.pause(), 6s);
-  pacing.asked(terms, now += 25s);  // the burst is over
+  pacing.record_request(terms, now += 25s);  // the burst is over
   EXPECT_LT(pacing.pause(), 200ms);
 }
 
 // Three gatekeepers cannot drown a keeper if each waits a moment: waits of seconds there cost a small site
 // units (days of two to four gatekeepers, 0.02).
 TEST(pacing, is_short_where_few_ask) {
-  AskPacing pacing;
+  RequestPacing pacing;
   Time now = 100s;
-  for (int i = 0; i < 1000; ++i) pacing.asked({2, 24, 4, 3}, now += 5ms);
+  for (int i = 0; i < 1000; ++i) pacing.record_request({2, 24, 4, 3}, now += 5ms);
   EXPECT_LE(pacing.pause(), 250ms);
   EXPECT_GE(pacing.pause(), 100ms);
 }
 
 Ledger ledger_of(double level) {
   Ledger out{1, 0, 10, 40, -4};
-  out.level = level;
+  out.tokens = level;
   return out;
 }
 
@@ -83,16 +84,16 @@
   std::mt19937_64 random(3);
   ledger.merge(1, {7, 0, 0, 1.0, 1, 0, 0, 80ms}, 1s);
   ledger.merge(2, {8, 0, 0, 1.0, 1, 0, 0, 500ms}, 1s);
-  ledger.level = 5;
+  ledger.tokens = 5;
   EXPECT_EQ(split(ledger, {1, 0, -1}, 1s + 200ms, random), std::vector<int>{2});
   EXPECT_EQ(ledger.claims.at(1).limit, 0);
-  EXPECT_EQ(ledger.level, 4);
+  EXPECT_EQ(ledger.tokens, 4);
   EXPECT_EQ(split(ledger, {1, 0, 1}, 1s + 200ms, random), std::vector<int>{1});  // it asks just now
 }
 
 RC_GTEST_PROP(split, gives_no_more_than_there_is_and_no_more_than_is_held, ()) {
   auto ledger = ledger_of(*rc::gen::inRange(0, 40));
-  const auto level = ledger.level;
+  const auto level = ledger.tokens;
   std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
   const auto holders = *rc::gen::inRange(1, 12);
   for (int g = 0; g < holders; ++g)
@@ -104,7 +105,7 @@
     given += static_cast<double>(claim.limit);
   }
   RC_ASSERT(given <= level);
-  RC_ASSERT(ledger.level == level - given);
+  RC_ASSERT(ledger.tokens == level - given);
 }
 
 // A keeper that is asked anew after another has granted meanwhile must not take those units again, and takes
@@ -114,11 +115,11 @@
   std::mt19937_64 random(3);
   ledger.merge(1, {7, 0, 0, 1.0, 4, 0, 0, 80ms}, 1s);
   split(ledger, {4, 0, 1}, 1s, random);
-  EXPECT_EQ(ledger.level, 16);
+  EXPECT_EQ(ledger.tokens, 16);
   ledger.merge(1, {7, 0, 50, 1.0, 0, 2, 3, 80ms}, 2s);  // 46 of another keeper's, of which 3 were not granted
-  EXPECT_EQ(ledger.level, 13);
+  EXPECT_EQ(ledger.tokens, 13);
   EXPECT_FALSE(ledger.merge(1, {7, 0, 4, 1.0, 4, 0, 0, 80ms}, 2s));  // of before the change, late
-  EXPECT_EQ(ledger.level, 13);
+  EXPECT_EQ(ledger.tokens, 13);
 }
 
 // ---- frames ----
@@ -310,8 +311,8 @@
   out.rate = rate;
   out.burst = burst;
   out.debt = -1e9;
-  out.level = level;
-  out.filled = out.opened = now;
+  out.tokens = level;
+  out.refilled_at = out.opened_at = now;
   return out;
 }
 
@@ -319,7 +320,7 @@
 RC_GTEST_PROP(ledger, totals_do_not_depend_on_what_was_lost_or_repeated, ()) {
   struct Sent {
     int from;
-    Ask ask;
+    Demand ask;
   };
   std::vector<Sent> sent;
   for (int from = 0; from < 3; ++from) {
@@ -354,12 +355,12 @@
   struct Wire {
     bool grant;
     int at;
-    Ask ask;
+    Demand ask;
     std::uint32_t number;
     std::int64_t limit;
   };
   auto ledger = ledger_of(kRate, kBurst, 0s, kBurst);
-  std::vector<Credit> credits(3, Credit(250ms));
+  std::vector<HeldLease> credits(3, HeldLease(250ms));
   std::array<std::int64_t, 3> used{};
   std::deque<Wire> wires;
   Time now(0);
@@ -374,7 +375,7 @@
         break;
       case 1: {
         const auto wanted = *rc::gen::inRange(0, 6);
-        const auto number = credits[which].ask(used[which], wanted, now);
+        const auto number = credits[which].request(used[which], wanted, now);
         wires.push_back({false, at, {5, number, used[which], 1, wanted}, 0, 0});
         break;
       }
@@ -385,7 +386,7 @@
         const auto wire = wires[i];
         if (*rc::gen::inRange(0, 4) > 0) wires.erase(wires.begin() + static_cast<std::ptrdiff_t>(i));
         if (wire.grant) {
-          credits[static_cast<std::size_t>(wire.at)].granted(wire.number, wire.limit, now);
+          credits[static_cast<std::size_t>(wire.at)].apply_grant(wire.number, wire.limit, now);
           break;
         }
         ledger.fill(now);
@@ -393,7 +394,7 @@
         auto& claim = ledger.claims.at(wire.at);
         const auto lacks = static_cast<std::int64_t>(claim.wanted) - (claim.limit - claim.used);
         const auto gives = std::clamp<std::int64_t>(
-            lacks, 0, std::max<std::int64_t>(0, static_cast<std::int64_t>(ledger.level)));
+            lacks, 0, std::max<std::int64_t>(0, static_cast<std::int64_t>(ledger.tokens)));
         claim.limit += gives;
         ledger.take(static_cast<double>(gives));
         wires.push_back({true, wire.at, {}, claim.number, claim.limit});
@@ -407,7 +408,7 @@
     }
     const auto sum = used[0] + used[1] + used[2];
     RC_ASSERT(static_cast<double>(sum) <= kBurst + units_in(kRate, now) + 1e-6);
-    RC_ASSERT(ledger.level >= -1e-6);  // nobody has used what was not taken from it
+    RC_ASSERT(ledger.tokens >= -1e-6);  // nobody has used what was not taken from it
   }
 }
 
@@ -421,44 +422,44 @@
   EXPECT_TRUE(ledger.merge(1, {3, 3, 2, 1, 2}, 0s));
   EXPECT_FALSE(ledger.merge(1, {3, 2, 0, 1, 0}, 0s));
   EXPECT_EQ(ledger.claims.at(1).limit, 4);
-  EXPECT_DOUBLE_EQ(ledger.level, 6);
+  EXPECT_DOUBLE_EQ(ledger.tokens, 6);
   EXPECT_TRUE(ledger.merge(1, {4, 1, 0, 1, 2}, 0s));  // what the earlier life had stays taken
   EXPECT_EQ(ledger.claims.at(1).limit, 0);
-  EXPECT_DOUBLE_EQ(ledger.level, 6);
+  EXPECT_DOUBLE_EQ(ledger.tokens, 6);
 }
 
 TEST(credit, ends_with_the_ask_that_it_answers) {
-  Credit credit(250ms);
-  const auto number = credit.ask(0, 3, 1s);
+  HeldLease credit(250ms);
+  const auto number = credit.request(0, 3, 1s);
   EXPECT_FALSE(credit.covers(0, 1, 1s));
-  EXPECT_TRUE(credit.granted(number, 3, 1s + 100ms));
+  EXPECT_TRUE(credit.apply_grant(number, 3, 1s + 100ms));
   EXPECT_TRUE(credit.covers(2, 1, 1s + 249ms));
   EXPECT_FALSE(credit.covers(3, 1, 1s + 100ms));
-  EXPECT_FALSE(credit.covers(0, 1, 1s + 250ms));        // as after a stall
-  EXPECT_FALSE(credit.granted(number, 3, 1s + 250ms));  // it came too late
-  const auto later = credit.ask(1, 1, 2s);
-  EXPECT_TRUE(credit.granted(later - 1 + 1, 2, 2s + 10ms));
-  EXPECT_FALSE(credit.granted(later + 5, 9, 2s + 10ms));  // an answer to what was never asked
+  EXPECT_FALSE(credit.covers(0, 1, 1s + 250ms));            // as after a stall
+  EXPECT_FALSE(credit.apply_grant(number, 3, 1s + 250ms));  // it came too late
+  const auto later = credit.request(1, 1, 2s);
+  EXPECT_TRUE(credit.apply_grant(later - 1 + 1, 2, 2s + 10ms));
+  EXPECT_FALSE(credit.apply_grant(later + 5, 9, 2s + 10ms));  // an answer to what was never asked
   EXPECT_EQ(credit.limit(), 2);
 }
 
 TEST(credit, between_ask_and_answer_only_what_the_keeper_lets_stand) {
-  Credit credit(10s);
-  const auto first = credit.ask(0, 10, 0s);
-  credit.granted(first, 10, 0s);
-  credit.ask(2, 3, 0s);  // gives 5 back
+  HeldLease credit(10s);
+  const auto first = credit.request(0, 10, 0s);
+  credit.apply_grant(first, 10, 0s);
+  credit.request(2, 3, 0s);  // gives 5 back
   EXPECT_EQ(credit.limit(), 5);
-  EXPECT_TRUE(credit.granted(first, 10, 0s));  // repeated
+  EXPECT_TRUE(credit.apply_grant(first, 10, 0s));  // repeated
   EXPECT_EQ(credit.limit(), 5);
 }
 
 TEST(credit, what_has_lapsed_comes_back_with_no_later_grant) {
-  Credit credit(250ms);
-  const auto first = credit.ask(0, 10, 0s);
-  EXPECT_TRUE(credit.granted(first, 10, 10ms));
-  const auto second = credit.ask(2, 5, 3s);
+  HeldLease credit(250ms);
+  const auto first = credit.request(0, 10, 0s);
+  EXPECT_TRUE(credit.apply_grant(first, 10, 10ms));
+  const auto second = credit.request(2, 5, 3s);
   EXPECT_EQ(credit.limit(), 2);
-  EXPECT_TRUE(credit.granted(second, 4, 3s + 10ms));
+  EXPECT_TRUE(credit.apply_grant(second, 4, 3s + 10ms));
   EXPECT_TRUE(credit.covers(3, 1, 3s + 20ms));
   EXPECT_FALSE(credit.covers(4, 1, 3s + 20ms));
 }
@@ -471,9 +472,9 @@
   plan.rate = 10;
   plan.burst = 40;
   auto& ledger = all.open(plan, 0s);
-  ledger.level = 40;
-  Ask ask;
-  ask.life = 1;
+  ledger.tokens = 40;
+  Demand ask;
+  ask.generation = 1;
   ask.number = 1;
   ask.wanted = 12;
   ASSERT_TRUE(ledger.merge(0, ask, 0s));
@@ -486,19 +487,19 @@
   ask.used = 3;
   ASSERT_TRUE(ledger.merge(0, ask, 1s));  // lapsed: only what was used
   EXPECT_EQ(ledger.claims.at(0).limit, 3);
-  EXPECT_DOUBLE_EQ(ledger.level, 28);
+  EXPECT_DOUBLE_EQ(ledger.tokens, 28);
 }
 
 TEST(part, is_empty_at_first_and_gone_when_turned_off) {
-  Part part;
+  FallbackShare part;
   EXPECT_FALSE(part.covers(1, 10, 10, 5s));
-  part.turn(true, 5s);
+  part.set_active(true, 5s);
   EXPECT_FALSE(part.covers(1, 10, 10, 5s));
   EXPECT_TRUE(part.covers(1, 10, 10, 5s + 100ms));
   part.spend(1, 10, 10, 5s + 100ms);
   EXPECT_FALSE(part.covers(1, 10, 10, 5s + 150ms));
-  part.turn(false, 9s);
-  part.turn(true, 9s);
+  part.set_active(false, 9s);
+  part.set_active(true, 9s);
   EXPECT_FALSE(part.covers(1, 10, 10, 9s));
 }
 
@@ -511,32 +512,32 @@
   plan.customer = customer_in_order(0, 1);
   plan.rate = 10;
   plan.burst = 20;
-  from.open(plan, 0s).level = 12.5;
-  from.hand_over(0, false, 0s);
+  from.open(plan, 0s).tokens = 12.5;
+  from.start_transfers(0, false, 0s);
   EXPECT_EQ(from.all().size(), 1U);  // it is its own to keep
-  from.hand_over(0, true, 0s);
+  from.start_transfers(0, true, 0s);
   EXPECT_TRUE(from.all().empty());
-  std::vector<Hand> told;
-  for (Time now = 0s; from.hands(); now += 20ms) {
-    from.hand(0, now, [&](int heir, const Hand& hand) {
+  std::vector<PendingTransfer> told;
+  for (Time now = 0s; from.has_transfers(); now += 20ms) {
+    from.send_transfers(0, now, [&](int heir, const PendingTransfer& hand) {
       EXPECT_EQ(heir, 1);
       told.push_back(hand);
     });
   }
   ASSERT_EQ(told.size(), 3U);
   auto& ledger = to.open(plan, 0s);
-  EXPECT_DOUBLE_EQ(ledger.level, 0);
-  EXPECT_TRUE(to.take_over(ledger, 0, 1, told[0].level, told[0].number, 0s));
-  EXPECT_FALSE(to.take_over(ledger, 0, 1, told[1].level, told[1].number, 0s));
-  EXPECT_DOUBLE_EQ(ledger.level, 12.5);
-  EXPECT_TRUE(to.take_over(ledger, 0, 2, told[0].level, 9, 0s));  // of another life
-  EXPECT_DOUBLE_EQ(ledger.level, 20);
+  EXPECT_DOUBLE_EQ(ledger.tokens, 0);
+  EXPECT_TRUE(to.receive_transfer(ledger, 0, 1, told[0].level, told[0].number, 0s));
+  EXPECT_FALSE(to.receive_transfer(ledger, 0, 1, told[1].level, told[1].number, 0s));
+  EXPECT_DOUBLE_EQ(ledger.tokens, 12.5);
+  EXPECT_TRUE(to.receive_transfer(ledger, 0, 2, told[0].level, 9, 0s));  // of another life
+  EXPECT_DOUBLE_EQ(ledger.tokens, 20);
   // Without the right nothing fills.
   to.fill(ledger, 5s);
-  EXPECT_DOUBLE_EQ(ledger.level, 20);
+  EXPECT_DOUBLE_EQ(ledger.tokens, 20);
   ledger.take(20);
   to.fill(ledger, 10s);
-  EXPECT_DOUBLE_EQ(ledger.level, 0);
+  EXPECT_DOUBLE_EQ(ledger.tokens, 0);
 }
 
 TEST(bound, terms_add_up_and_loss_is_none_of_them) {
@@ -544,17 +545,17 @@
   tier.gatekeepers = 3;
   tier.guarded = true;
   const Plan plan{"p", 10, 20, 1};
-  const auto bound = bound_of(tier, plan);
+  const auto bound = compute_bound(tier, plan);
   EXPECT_NEAR(bound.units, 10 * 0.25 + 10.0 / 3 * (0.5 + 0.03), 1e-9);
   tier.loss = 0.3;
   tier.restarts_per_minute = 30;
-  EXPECT_DOUBLE_EQ(bound_of(tier, plan).units, bound.units);
+  EXPECT_DOUBLE_EQ(compute_bound(tier, plan).units, bound.units);
   EXPECT_NEAR(bound.share(plan, 2s), bound.units / 40, 1e-9);
   tier.guarded = false;
-  EXPECT_GT(bound_of(tier, plan).units, 2 * plan.burst);
+  EXPECT_GT(compute_bound(tier, plan).units, 2 * plan.burst);
   tier.gatekeepers = 1;
   tier.guarded = true;
-  EXPECT_DOUBLE_EQ(bound_of(tier, plan).units, 2.5);
+  EXPECT_DOUBLE_EQ(compute_bound(tier, plan).units, 2.5);
 }
 
 // Found by the soak, seed 2: one gatekeeper that restarts forgets what was spent, as a keeper among several
@@ -562,9 +563,9 @@
 TEST(bound, a_single_gatekeeper_that_restarts_forgets_a_burst_each_time) {
   Tier tier;
   const Plan plan{"p", 10, 20, 1};
-  EXPECT_DOUBLE_EQ(bound_of(tier, plan).units, 1);
+  EXPECT_DOUBLE_EQ(compute_bound(tier, plan).units, 1);
   tier.restarts_per_minute = 3;
-  EXPECT_DOUBLE_EQ(bound_of(tier, plan).units, 1 + 3 * 20);
+  EXPECT_DOUBLE_EQ(compute_bound(tier, plan).units, 1 + 3 * 20);
 }
 
 // Each restart may be of the very gatekeeper that leads a customer's quota.
@@ -572,9 +573,9 @@
   Tier tier;
   tier.gatekeepers = 5;
   const Plan plan{"p", 10, 20, 1};
-  const auto calm = bound_of(tier, plan).units;
+  const auto calm = compute_bound(tier, plan).units;
   tier.restarts_per_minute = 3;
-  EXPECT_DOUBLE_EQ(bound_of(tier, plan).units, calm + 3 * 20);
+  EXPECT_DOUBLE_EQ(compute_bound(tier, plan).units, calm + 3 * 20);
 }
 
 }  // namespace
--- a/tests/load_shedding_test.cpp
+++ b/tests/load_shedding_test.cpp
@@ -27,9 +27,9 @@
 namespace cranemux {
 namespace {
 
-using ledger::Throttle;
-using ledger::ThrottleList;
-using ledger::ThrottleLog;
+using ledger::LoadShedder;
+using ledger::ShedNoticeLog;
+using ledger::ShedTable;
 using ledger::Time;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -41,7 +41,7 @@
 struct Loop {
   double rate, burst;
   Time late = milliseconds(700);
-  Throttle throttle = {};
+  LoadShedder throttle = {};
   double level = burst, told = 1, let = 0, words = 0;
   Time now{seconds(100)};
   std::deque<std::pair<Time, double>> shares = {};            // on their way to the gatekeepers
@@ -54,11 +54,11 @@
       let += goes;
       reports.emplace_back(now + late, asked, goes);
       for (; !reports.empty() && std::get<0>(reports.front()) <= now; reports.pop_front()) {
-        throttle.asked_for(std::get<1>(reports.front()), now);
+        throttle.record_demand(std::get<1>(reports.front()), now);
         level -= std::get<2>(reports.front());
       }
       level = std::clamp(level + rate * 0.05, -burst / 4, burst);
-      if (const auto share = throttle.look(level, rate, burst, now)) {
+      if (const auto share = throttle.update(level, rate, burst, now)) {
         ++words;
         shares.emplace_back(now + late, *share / 100.0);
       }
@@ -81,7 +81,7 @@
   // Once less is asked for than fills, nobody is refused for long.
   loop.play(rate / 2, seconds(75));
   RC_ASSERT(loop.told == 1);
-  RC_ASSERT(!loop.throttle.on());
+  RC_ASSERT(!loop.throttle.active());
 }
 
 RC_GTEST_PROP(throttle, says_nothing_of_who_stays_within_its_quota, ()) {
@@ -105,45 +105,45 @@
   Loop loop{100, 200};
   loop.play(300, seconds(30));
   loop.words = 0;
-  loop.play(300, ThrottleList::kCounts);
+  loop.play(300, ShedTable::kEntryLifetime);
   EXPECT_GE(loop.words, 2);
 }
 
 // Each gatekeeper hears each word once and in order, however they are cut into messages; who is further
 // behind than is kept misses the oldest, and that is counted.
 RC_GTEST_PROP(throttle_log, is_heard_in_order_and_what_is_missed_is_counted, ()) {
-  ThrottleLog log(2);
+  ShedNoticeLog log(2);
   std::uint32_t said = 0;
   std::vector<std::uint32_t> heard[2];
   const auto ride = [&](int to, std::size_t room) {
-    log.ride(to, room, 6, [&](const ledger::ThrottleWord& w) { heard[to].push_back(w.customer); });
+    log.piggyback(to, room, 6, [&](const ledger::ShedNotice& w) { heard[to].push_back(w.customer); });
   };
   for (int step = 0; step < 30; ++step) {
     for (int n = *rc::gen::inRange(0, 900); n > 0; --n) log.add({0, ++said, 50});
-    ride(0, 6 * ThrottleLog::kKept);
+    ride(0, 6 * ShedNoticeLog::kCapacity);
     ride(1, static_cast<std::size_t>(*rc::gen::inRange(0, 2000)));
   }
-  while (log.behind(1)) ride(1, 250);
+  while (log.has_unsent(1)) ride(1, 250);
   RC_ASSERT(heard[0].size() == said);
   for (const auto& one : heard) RC_ASSERT(std::is_sorted(one.begin(), one.end()));
   RC_ASSERT(heard[1].size() + log.missed() == said);
-  RC_ASSERT(!log.behind(0));
+  RC_ASSERT(!log.has_unsent(0));
 }
 
 TEST(throttle_list, forgets_in_time_and_is_bounded) {
-  ThrottleList list;
-  list.heard(1, 40, seconds(10));
+  ShedTable list;
+  list.update(1, 40, seconds(10));
   EXPECT_EQ(list.share(1, seconds(11)), 40);
   EXPECT_EQ(list.share(2, seconds(11)), std::nullopt);
-  EXPECT_EQ(list.share(1, seconds(10) + ThrottleList::kCounts), std::nullopt);
-  list.heard(1, 100, seconds(12));
+  EXPECT_EQ(list.share(1, seconds(10) + ShedTable::kEntryLifetime), std::nullopt);
+  list.update(1, 100, seconds(12));
   EXPECT_EQ(list.size(), 0U);
-  for (std::uint32_t c = 0; c < ThrottleList::kMost + 10; ++c) list.heard(c, 50, seconds(20));
-  EXPECT_EQ(list.size(), ThrottleList::kMost);
+  for (std::uint32_t c = 0; c < ShedTable::kMaxCustomers + 10; ++c) list.update(c, 50, seconds(20));
+  EXPECT_EQ(list.size(), ShedTable::kMaxCustomers);
   EXPECT_EQ(list.dropped(), 10U);
-  list.heard(5, 60, seconds(21));  // one that is there is still told
+  list.update(5, 60, seconds(21));  // one that is there is still told
   EXPECT_EQ(list.share(5, seconds(22)), 60);
-  for (std::size_t i = 0; i < 10 * ledger::kSweepCalls; ++i) list.forget(seconds(200));
+  for (std::size_t i = 0; i < 10 * ledger::kSweepCalls; ++i) list.erase_expired(seconds(200));
   EXPECT_EQ(list.size(), 0U);
 }
 
@@ -172,12 +172,12 @@
 // The split looks at who lacks something only: the same as a walk through all claims, with the same draws.
 RC_GTEST_PROP(split, shares_out_as_if_it_walked_through_all_claims, ()) {
   ledger::Ledger ledger{1, 0, 10, 40, -4};
-  ledger.level = 40;
+  ledger.tokens = 40;
   std::mt19937_64 random(7);
   Time now = seconds(100);
   for (int step = 0; step < 40; ++step) {
     const int from = *rc::gen::inRange(0, 12);
-    ledger::Ask ask;
+    ledger::Demand ask;
     ask.used = ledger.claims.contains(from) ? ledger.claims[from].limit : 0;
     ask.wanted = *rc::gen::inRange(0, 6);
     ask.weight = 1;
@@ -188,7 +188,7 @@
     std::set<int> lack;  // by a walk
     const int asker = *rc::gen::arbitrary<bool>() ? from : -1;
     for (const auto& [gatekeeper, claim] : ledger.claims) {
-      if (claim.lacks() > 0 && (gatekeeper == asker || now <= claim.held_until)) lack.insert(gatekeeper);
+      if (claim.shortfall() > 0 && (gatekeeper == asker || now <= claim.held_until)) lack.insert(gatekeeper);
     }
     auto draws = random;
     const auto given = ledger::split(ledger, {4, 0, asker}, now, random);
--- a/tests/optimistic_lease_test.cpp
+++ b/tests/optimistic_lease_test.cpp
@@ -28,47 +28,47 @@
 constexpr Nanos kMs = 1'000'000;
 
 TEST(Standing, AStoreThatRunsLowIsTightForLongerEachTime) {
-  ledger::Slack slack;
-  EXPECT_FALSE(slack.look(50, 100, seconds(100)));
-  EXPECT_FALSE(slack.tight(seconds(100)));
-  EXPECT_TRUE(slack.look(39, 100, seconds(100)));   // news
-  EXPECT_FALSE(slack.look(10, 100, seconds(101)));  // it was said, and lasts from here
-  EXPECT_TRUE(slack.tight(seconds(102)));
-  EXPECT_FALSE(slack.tight(seconds(104)));
-  EXPECT_TRUE(slack.look(39, 100, seconds(105)));
-  EXPECT_TRUE(slack.tight(seconds(108)));  // four seconds now
-  EXPECT_FALSE(slack.tight(seconds(110)));
-  EXPECT_TRUE(slack.look(39, 100, seconds(1000)));
-  EXPECT_FALSE(slack.tight(seconds(1003)));  // long ago: two again
+  ledger::LowWatermark slack;
+  EXPECT_FALSE(slack.update(50, 100, seconds(100)));
+  EXPECT_FALSE(slack.below(seconds(100)));
+  EXPECT_TRUE(slack.update(39, 100, seconds(100)));   // news
+  EXPECT_FALSE(slack.update(10, 100, seconds(101)));  // it was said, and lasts from here
+  EXPECT_TRUE(slack.below(seconds(102)));
+  EXPECT_FALSE(slack.below(seconds(104)));
+  EXPECT_TRUE(slack.update(39, 100, seconds(105)));
+  EXPECT_TRUE(slack.below(seconds(108)));  // four seconds now
+  EXPECT_FALSE(slack.below(seconds(110)));
+  EXPECT_TRUE(slack.update(39, 100, seconds(1000)));
+  EXPECT_FALSE(slack.below(seconds(1003)));  // long ago: two again
 }
 
 TEST(Standing, CoversWhileTheWordCountsAndHalfIsLeft) {
-  ledger::Standing standing;
+  ledger::OptimisticLease standing;
   EXPECT_FALSE(standing.covers(1, 10, 100, 100, true, seconds(1)));  // never told
-  standing.told(true, 10, seconds(1));
+  standing.update(true, 10, seconds(1));
   EXPECT_TRUE(standing.covers(1, 10, 51, 100, true, seconds(2)));
   EXPECT_FALSE(standing.covers(2, 10, 51, 100, true, seconds(2)));
   EXPECT_TRUE(standing.covers(2, 0, 100, 100, true, seconds(2)));
   EXPECT_FALSE(standing.covers(2, 1, 100, 100, false, seconds(2)));  // a silent keeper's: the share is all
   EXPECT_TRUE(standing.covers(2, 2, 100, 100, false, seconds(2)));
-  EXPECT_FALSE(standing.covers(1, 10, 100, 100, true, seconds(1) + ledger::Standing::kCounts));
-  standing.told(false, 10, seconds(2));
+  EXPECT_FALSE(standing.covers(1, 10, 100, 100, true, seconds(1) + ledger::OptimisticLease::kValidity));
+  standing.update(false, 10, seconds(2));
   EXPECT_FALSE(standing.covers(1, 10, 100, 100, true, seconds(3)));
 }
 
 TEST(Standing, ReportsAreGatheredUntilWordIsWanted) {
-  ledger::Standing standing;
-  standing.told(true, 10, seconds(1));
+  ledger::OptimisticLease standing;
+  standing.update(true, 10, seconds(1));
   standing.spend(9, seconds(2));
   EXPECT_EQ(standing.due(), seconds(3));
   standing.spend(5, milliseconds(2500));
   EXPECT_EQ(standing.due(), seconds(3));
-  EXPECT_FALSE(standing.wants_word(5, milliseconds(2500)));
+  EXPECT_FALSE(standing.needs_renewal(5, milliseconds(2500)));
   standing.spend(4, milliseconds(2600));
   EXPECT_EQ(standing.due(), milliseconds(2600));
-  EXPECT_TRUE(standing.wants_word(4, milliseconds(2600)));
+  EXPECT_TRUE(standing.needs_renewal(4, milliseconds(2600)));
   standing.reported();
-  standing.told(true, 10, seconds(3));
+  standing.update(true, 10, seconds(3));
   standing.spend(9, seconds(4));
   EXPECT_EQ(standing.due(), seconds(5));
 }
