--- a/scale/hollow.cpp
+++ b/scale/hollow.cpp
@@ -426,7 +426,7 @@
     } else if (f.kind == FaultKind::kill_keepers) {
       const auto& customer = customers[static_cast<std::size_t>(f.customer)];
       for (int rank = 0; rank < 2; ++rank) {
-        const int keeper = ledger::keeper_at(ledger::hash_of(customer.id), 0, rank, customer.first,
+        const int keeper = ledger::leader_at(ledger::hash_of(customer.id), 0, rank, customer.first,
                                              customer.spread, s.members(), s.control_machines);
         gatekeepers_[static_cast<std::size_t>(keeper)]->put(at, Restart{});
       }
--- a/src/config/services.cpp
+++ b/src/config/services.cpp
@@ -107,10 +107,10 @@
     if (settings_.guarded && settings_.dedicated_leaders > 0)
       yaml_.fault(node["keepers"], "tier.keepers",
                   "goes with trusting quotas only: every member guards its part");
-    if (settings_.guarded && settings_.gateways > ledger::kMostGuarded) {
-      yaml_.fault(
-          node["peers"], "tier.peers",
-          "at most " + std::to_string(ledger::kMostGuarded) + " gatekeepers can guard their quotas together");
+    if (settings_.guarded && settings_.gateways > ledger::kMaxGuardedMembers) {
+      yaml_.fault(node["peers"], "tier.peers",
+                  "at most " + std::to_string(ledger::kMaxGuardedMembers) +
+                      " gatekeepers can guard their quotas together");
     }
   }
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -154,7 +154,8 @@
   faults.need(
       s.dedicated_leaders >= 0 && s.dedicated_leaders < s.gateways && !(s.guarded && s.dedicated_leaders > 0),
       "keepers", "must be fewer than the gatekeepers, and none where quotas are guarded");
-  faults.need(!s.guarded || s.gateways <= ledger::kMostGuarded, "balancers", "too many for guarded quotas");
+  faults.need(!s.guarded || s.gateways <= ledger::kMaxGuardedMembers, "balancers",
+              "too many for guarded quotas");
   faults.need(!s.classes.empty(), "classes", "must hold a class");
   faults.need(s.max_attempts >= 1, "caps.most-tries", "must be 1 or more");
   faults.need(s.max_retry_after >= 0, "caps.max-retry-after-ns", "must not be below 0");
--- a/src/decision_module.cpp
+++ b/src/decision_module.cpp
@@ -119,11 +119,11 @@
   }
 
   std::string guard_report(Nanos now) const {
-    if (!s_.guarded || !books_->mail) return {};
+    if (!s_.guarded || !books_->transport) return {};
     const auto on = std::count_if(accounts_.begin(), accounts_.end(), [](const auto& a) {
       return a.second.guarded_quota.fallback_share.active();
     });
-    return ledger::tier_report(*books_->mail, *books_->ledgers, static_cast<std::size_t>(on),
+    return ledger::tier_report(*books_->transport, *books_->ledgers, static_cast<std::size_t>(on),
                                ledger::Time(now));
   }
 
@@ -144,11 +144,13 @@
     now_ = now;
     actions_ = &actions;
     if (!started_) start();
-    leaders().tick(time());
+    leader_selection().tick(time());
     for (const auto& event : events) std::visit([this](const auto& e) { on(e); }, event);
     if (freed_ && now_ < next_tick_) release_held();
     if (now_ >= next_tick_) tick();
-    mail().post(time(), [this](int to, std::string bytes) { act(SendToPeer{to, std::move(bytes)}); });
+    transport().send_due(time(), [this](int to, std::string bytes) {
+      act(SendToPeer{to, std::move(bytes)});
+    });
     wake();
   }
 
@@ -184,7 +186,7 @@
     a.spread = std::clamp(request.spread, 1, s_.gateways);
     if (!s_.guarded && s_.dedicated_leaders == 0)
       a.shards = ledger::shard_count(a.plan->rate, a.plan->burst, s_.most_units,
-                                     ledger::kMailShare * s_.peer_messages_per_s, a.spread);
+                                     ledger::kMessageShare * s_.peer_messages_per_s, a.spread);
     a.shard = s_.index % a.shards;
     if (before) return ledger::go_by_plan(a);
     a.refilled_at = started_at_;
@@ -199,13 +201,13 @@
   }
 
   // A gateway that hears none of the others spends its even share alone.
-  bool alone() const { return leaders().isolated(time()); }
+  bool alone() const { return leader_selection().isolated(time()); }
 
   ledger::Time time() const { return ledger::Time(now_); }
-  ledger::Mail& mail() const { return *books_->mail; }
-  ledger::Leaders& leaders() const { return *books_->leaders; }
+  ledger::Transport& transport() const { return *books_->transport; }
+  ledger::LeaderSelection& leader_selection() const { return *books_->leader_selection; }
   ledger::Ledgers& ledgers() const { return *books_->ledgers; }
-  const ledger::Rights& rights() const { return *mail().rights(); }
+  const ledger::LeaderElection& leader_election() const { return *transport().leader_election(); }
   bool guarded(const Account& a) const { return s_.guarded && a.plan->rate > 0; }
   // Every gateway's part of a guarded quota is even: what a customer says of its set is not relied upon.
   double part(double whole) const { return whole / s_.gateways; }
@@ -255,8 +257,9 @@
     return a.plan->open_limit > 0 && a.open_attempts < a.limit;
   }
   bool stands(const Account& a, double units) const {
-    const bool heard = a.requested_at <= a.answered_at ||
-                       (a.unanswered_requests == 0 && now_ - a.requested_at <= ledger::kAskPatience.count());
+    const bool heard =
+        a.requested_at <= a.answered_at ||
+        (a.unanswered_requests == 0 && now_ - a.requested_at <= ledger::kAnswerTimeout.count());
     return a.plan->rate > 0 &&
            a.optimistic_lease.covers(units, a.borrowable, a.tokens, a.plan->burst, heard, time());
   }
@@ -431,27 +434,29 @@
   // ---- peer messages ----------------------------------------------------------------------------
 
   void on(const PeerMessage& message) {
-    const auto letter = mail().read(message.from, message.bytes, time());
+    const auto letter = transport().receive(message.from, message.bytes, time());
     if (!letter) return;
-    leaders().heard(message.from, time());
+    leader_selection().record_message(message.from, time());
     for (const auto& entry : letter->entries) {
-      if (entry.plan >= plans_.size() || !ledger::sane(entry)) return;
-      std::visit([&](const auto& said) { handle(message.from, entry, said, letter->life); }, entry.message);
+      if (entry.plan >= plans_.size() || !ledger::plausible(entry)) return;
+      std::visit([&](const auto& said) { handle(message.from, entry, said, letter->generation); },
+                 entry.message);
     }
   }
   void handle(int from, const ledger::Entry& entry, const ledger::Lease& lease, std::uint32_t) {
     const auto a = accounts_.find(entry.customer);
-    if (lease.incarnation != life_ || a == accounts_.end()) return;
+    if (lease.generation != life_ || a == accounts_.end()) return;
     // Of a replica that was asked while nobody was heard. Its leader can be asked, at once.
-    if (leaders().overtaken(a->second, from, keeper_of(a->second))) return agenda_.by(entry.customer, time());
+    if (leader_selection().is_stale_answer(a->second, from, keeper_of(a->second)))
+      return agenda_.schedule(entry.customer, time());
     granted(a->second, static_cast<std::int64_t>(lease.limit), lease.level,
             static_cast<std::uint32_t>(lease.number),
             ledger::kPauseStep * static_cast<int>(std::min<std::uint64_t>(lease.pause, 255)),
             lease.open == 1);
   }
   void handle(int from, const ledger::Entry& entry, const ledger::Transfer& transfer, std::uint32_t) {
-    ledgers().receive_transfer(open_ledger(entry, 1), from, rights().epoch(from), transfer.level,
-                               transfer.number, time());
+    ledgers().receive_transfer(open_ledger(entry, 1), from, leader_election().generations_seen(from),
+                               transfer.level, transfer.number, time());
   }
   void handle(int, const ledger::Entry& entry, const ledger::ShedShare& shed, std::uint32_t) {
     const auto share = static_cast<int>(std::min<std::uint64_t>(shed.share, ledger::kWholeShare));
@@ -468,30 +473,30 @@
   // themselves.
 
   int keeper_of(const Account& a) const {
-    if (s_.guarded) return rights().keeper(a.hash);
-    return leaders().of(
-        a, [this](int member) { return mail().silent(member, time()); }, time());
+    if (s_.guarded) return leader_election().leader(a.hash);
+    return leader_selection().leader_for(
+        a, [this](int member) { return transport().dedicated_leader_failed(member, time()); }, time());
   }
 
   void note(Account& a) {
     if (!a.plan) return;
     a.changed = true;
-    agenda_.by(a.hash, time());
+    agenda_.schedule(a.hash, time());
   }
 
   // Asks at once for what is newly held; again for what nobody answered, and each subperiod. Returns when to
   // look again.
   Nanos seek(Account& a) {
-    const bool waits = ledger::waits_for_answer(a);
+    const bool waits = ledger::awaits_answer(a);
     const bool gathers = a.held_requests == 0 && !waits && a.optimistic_lease.only_reports(time());
     if (gathers && a.optimistic_lease.due() > time()) return a.optimistic_lease.due().count();
     const bool report = gathers && !a.optimistic_lease.needs_renewal(a.borrowable, time());
     int keeper = keeper_of(a);
     const bool none = a.confirmed_tokens < a.shards;  // its part had none left
     const ledger::Time spent(keeper != s_.index && none ? a.request_pause : 0);
-    const auto next = leaders().next_question(a, keeper, spent, time());
+    const auto next = leader_selection().next_request_at(a, keeper, spent, time());
     if (!report && time() < next) return std::min(next.count(), now_ + kSubperiod);
-    if (leaders().turn(
+    if (leader_selection().start_request(
             a, keeper, [this] { return drawn(); }, time()))
       keeper = keeper_of(a);
     if (a.held_requests == 0 && !a.changed && !waits) return now_;
@@ -507,9 +512,9 @@
     if (keeper < 0) return now_;
     const auto plan = static_cast<std::uint32_t>(a.plan - plans_.data());
     const auto entry = ledger::entry_of(a, plan, guarded(a), report, time());
-    if (keeper != s_.index && !report) leaders().asked(keeper);
+    if (keeper != s_.index && !report) leader_selection().record_request(keeper);
     if (keeper != s_.index || alone())
-      mail().write(keeper, entry);
+      transport().enqueue(keeper, entry);
     else
       handle(keeper, entry, std::get<ledger::LeaseRequest>(entry.message), life_);
     return now_;
@@ -528,18 +533,18 @@
     const auto ask = ledger::ask_of(request, life, s_.guarded);
     if (s_.guarded && (ends_ || !ledgers().has_leadership(entry.customer, time())))
       return refuse(from, entry, ask);
-    auto& ledger = open_ledger(entry, request.parts);
-    if (ledger.plan != entry.plan || ledger.shards != request.parts) return;
+    auto& ledger = open_ledger(entry, request.shards);
+    if (ledger.plan != entry.plan || ledger.shards != request.shards) return;
     ledgers().fill(ledger, time());
     ledger.requested_at = time();
     if (from != s_.index && ask.wanted > 0) {
-      const double most = ledger::kMailShare * s_.peer_messages_per_s;
+      const double most = ledger::kMessageShare * s_.peer_messages_per_s;
       ledger.pacing.record_request({ledger.rate, most, s_.gateways, ledger.claims.size() + 1}, time());
     }
     // What another keeper has granted since is not in this ledger, which filled all the same: where it does
     // not know all that was asked, the least told level counts.
     if (!s_.guarded && !ledger.has_current_claim(from, ask)) {
-      ledger.tokens = std::min(ledger.tokens, ledger::level_told(ledger.burst, request.level));
+      ledger.tokens = std::min(ledger.tokens, ledger::decode_level(ledger.burst, request.level));
     }
     if (!ledger.merge(from, ask, time())) return;
     const bool told = ask.report && (s_.dedicated_leaders == 0 ||
@@ -551,8 +556,8 @@
   void refuse(int from, const ledger::Entry& entry, const ledger::Demand& ask) {
     if (from == s_.index) return;
     const auto used = static_cast<std::uint64_t>(ask.used);
-    mail().write(from, {entry.plan, entry.customer,
-                        ledger::Lease{ask.generation & 0xffffU, used, 0, ask.number, 0, 0}});
+    transport().enqueue(from, {entry.plan, entry.customer,
+                               ledger::Lease{ask.generation & 0xffffU, used, 0, ask.number, 0, 0}});
   }
 
   // `asker` is answered anyway; whoever has only reported, `told`, if it should not go on so.
@@ -568,8 +573,9 @@
     if (s_.guarded || plan.rate <= 0) return;
     if (s_.dedicated_leaders > 0) {
       const auto share = ledger.load_shedder.update(ledger.tokens, ledger.rate, ledger.burst, time());
-      if (share) return mail().tell({ledger.plan, ledger.customer, *share});
-      if (told >= 0) mail().tell(told, {ledger.plan, ledger.customer, ledger.load_shedder.announced_share()});
+      if (share) return transport().notify_all({ledger.plan, ledger.customer, *share});
+      if (told >= 0)
+        transport().notify(told, {ledger.plan, ledger.customer, ledger.load_shedder.announced_share()});
       return;
     }
     const bool all = ledger.low_watermark.update(ledger.tokens, ledger.burst, time());
@@ -581,7 +587,7 @@
 
   void grant(const Ledger& ledger, int to) {
     const auto& claim = ledger.claims.at(to);
-    const auto level = ledger::told_level(ledger.burst, ledger.tokens);
+    const auto level = ledger::encode_level(ledger.burst, ledger.tokens);
     const auto number = s_.guarded ? claim.number : claim.leader_epoch;
     const bool open = s_.guarded || (ledger.rate > 0 && !ledger.below_low_watermark(time()));
     if (to == s_.index)
@@ -589,7 +595,7 @@
     ledger::Lease lease{claim.generation & 0xffffU, static_cast<std::uint64_t>(claim.limit), level, number};
     lease.pause = static_cast<std::uint64_t>(ledger.pacing.pause() / ledger::kPauseStep);
     lease.open = open ? 1 : 0;
-    mail().write(to, {ledger.plan, ledger.customer, lease});
+    transport().enqueue(to, {ledger.plan, ledger.customer, lease});
   }
 
   // `open`: the keeper has the right, where quotas are guarded; else, its store is far from empty.
@@ -599,7 +605,7 @@
     fill(a);
     if (guarded(a)) {
       if (!open) a.guarded_quota.refused(number, time());
-      if (!open) return a.guarded_quota.update_fallback(rights(), a.hash, s_.index, time());
+      if (!open) return a.guarded_quota.update_fallback(leader_election(), a.hash, s_.index, time());
       if (!a.guarded_quota.lease.apply_grant(number, limit, time())) return;
       a.guarded_quota.no_leader_until = ledger::Time(-1);
       limit = a.guarded_quota.lease.limit();
@@ -611,12 +617,12 @@
     a.answered_at = std::max(now_, a.requested_at);
     a.last_answered_shard = a.shard;
     a.request_pause = pause.count();
-    a.tokens = a.confirmed_tokens = ledger::level_told(a.plan->burst, level);
+    a.tokens = a.confirmed_tokens = ledger::decode_level(a.plan->burst, level);
     a.borrowable = std::max(next_share(a), open && !s_.guarded ? 2 * s_.most_units : 0);
     a.optimistic_lease.update(open && !s_.guarded, a.borrowable, time());
     a.reported_allowance = std::min(a.plan->burst, a.tokens + static_cast<double>(limit - a.used_units));
     freed_ = true;
-    if (a.held_requests > 0) agenda_.by(a.hash, time());
+    if (a.held_requests > 0) agenda_.schedule(a.hash, time());
   }
 
   // ---- server choice and health -----------------------------------------------------------------
@@ -902,7 +908,7 @@
 
   void start() {
     started_ = true;
-    if (!books_->mail) open_books();
+    if (!books_->transport) open_books();
     next_split_ = (now_ / kSubperiod + 1) * kSubperiod;
     last_tick_ = refilled_ = now_;
     if (s_.list_on_request) act(WatchServers{});
@@ -912,30 +918,30 @@
     started_at_ = now_;
     books_->next_split = (now_ / kSubperiod + 1) * kSubperiod;
     const double rate =
-        ledger::messages_of(s_.peer_messages_per_s, s_.index, s_.gateways, s_.dedicated_leaders);
+        ledger::message_rate(s_.peer_messages_per_s, s_.index, s_.gateways, s_.dedicated_leaders);
     const auto life = static_cast<std::uint16_t>(life_);
-    books_->mail = std::make_unique<ledger::Mail>(
-        ledger::MailTerms{s_.gateways, s_.index, life, s_.message_bytes, rate, ledger::kMailBurst, s_.peers,
-                          s_.guarded, s_.seed, s_.dedicated_leaders},
+    books_->transport = std::make_unique<ledger::Transport>(
+        ledger::TransportSettings{s_.gateways, s_.index, life, s_.message_bytes, rate, ledger::kMessageBurst,
+                                  s_.peers, s_.guarded, s_.seed, s_.dedicated_leaders},
+        time());
+    books_->leader_selection = std::make_unique<ledger::LeaderSelection>(
+        ledger::LeaderSelectionSettings{s_.gateways, s_.index, s_.dedicated_leaders, s_.guarded,
+                                        ledger::Time(kSubperiod)},
         time());
-    books_->leaders =
-        std::make_unique<ledger::Leaders>(ledger::LeaderTerms{s_.gateways, s_.index, s_.dedicated_leaders,
-                                                              s_.guarded, ledger::Time(kSubperiod)},
-                                          time());
-    books_->ledgers = std::make_unique<ledger::Ledgers>(mail().rights());
+    books_->ledgers = std::make_unique<ledger::Ledgers>(transport().leader_election());
   }
 
   // Where quotas are guarded: votes flow, parts turn on and off, and ledgers go to whose they are.
   void guard() {
     if (!s_.guarded || now_ < next_guard_) return;
-    next_guard_ = now_ + mail().every().count();
-    mail().beat(time());
+    next_guard_ = now_ + transport().heartbeat_check_interval().count();
+    transport().update_heartbeats(time());
     for (auto& [hash, a] : accounts_) {
-      if (a.plan) a.guarded_quota.update_fallback(rights(), hash, s_.index, time());
+      if (a.plan) a.guarded_quota.update_fallback(leader_election(), hash, s_.index, time());
     }
     ledgers().start_transfers(s_.index, ends_, time());
     ledgers().send_transfers(s_.index, time(), [this](int to, const ledger::PendingTransfer& h) {
-      mail().write(to, {h.plan, h.customer, ledger::Transfer{h.level, h.number}});
+      transport().enqueue(to, {h.plan, h.customer, ledger::Transfer{h.level, h.number}});
     });
   }
   void on(const ShuttingDown&) { ends_ = true; }
@@ -960,7 +966,7 @@
       for (auto& [hash, ledger] : ledgers().all()) share_out(ledger, -1);
       forget();
     }
-    agenda_.look(time(), [this](std::uint32_t hash) -> std::optional<ledger::Time> {
+    agenda_.process_due(time(), [this](std::uint32_t hash) -> std::optional<ledger::Time> {
       auto& a = accounts_.at(hash);
       const ledger::Time again(seek(a));
       return a.held_requests > 0 || a.changed || a.requested_at > a.answered_at ? std::optional(again)
@@ -990,8 +996,8 @@
 
   // Timers only while something waits; the subperiod's otherwise.
   void wake() {
-    const bool works = !jobs_.empty() || mail().waits() || ledgers().has_transfers();
-    const auto due = works ? 0 : agenda_.next().value_or(ledger::Time(next_split_)).count();
+    const bool works = !jobs_.empty() || transport().has_pending() || ledgers().has_transfers();
+    const auto due = works ? 0 : agenda_.next_due().value_or(ledger::Time(next_split_)).count();
     auto at = std::min(next_split_, std::max<Nanos>(due, last_tick_ + kTick));
     if (s_.guarded) at = std::min(at, next_guard_);
     if (at != next_tick_ || at <= now_) act(SetTimer{1, next_tick_ = std::max(at, now_ + 1)});
@@ -1003,7 +1009,7 @@
   const std::vector<PlanSettings>& plans_ = books_->plans;
   std::uint32_t& life_ = books_->generation;
   std::map<std::uint32_t, Account>& accounts_ = books_->accounts;
-  ledger::Agenda& agenda_ = books_->due_queue;
+  ledger::DueQueue& agenda_ = books_->due_queue;
   Nanos& started_at_ = books_->started_at;
   Nanos now_ = 0;
   std::vector<Action>* actions_ = nullptr;
--- a/src/handover/module_state.cpp
+++ b/src/handover/module_state.cpp
@@ -63,7 +63,7 @@
   const auto& books = memory.books;
   state.life = books.generation;
   state.started = books.started_at;
-  state.suspected_until = books.leaders->suspicion().until();
+  state.suspected_until = books.leader_selection->suspicion().until();
   state.served_recently = memory.served_recently;
   state.hedge_tokens = memory.hedge_tokens;
   state.budgets = memory.budgets;
@@ -93,14 +93,14 @@
 void take_up(ModuleState&& state, const Memory& memory) {
   auto& books = memory.books;
   books.started_at = state.started;
-  books.leaders->suspicion().restore(std::move(state.suspected_until));
+  books.leader_selection->suspicion().restore(std::move(state.suspected_until));
   memory.served_recently = state.served_recently;
   memory.hedge_tokens = state.hedge_tokens;
   memory.budgets = std::move(state.budgets);
   books.accounts = std::move(state.accounts);
   for (auto& [hash, a] : books.accounts) {
     a.plan = &books.plans[static_cast<std::size_t>(state.plans.at(hash))];
-    if (a.requested_at > a.answered_at || a.changed) books.due_queue.by(hash, ledger::Time(0));
+    if (a.requested_at > a.answered_at || a.changed) books.due_queue.schedule(hash, ledger::Time(0));
   }
   for (auto& [hash, ledger] : state.ledgers) {
     for (const auto& [gateway, claim] : ledger.claims) ledger.update_shortfall(gateway);
--- a/src/ledger/checksum.h
+++ b/src/ledger/checksum.h
@@ -22,10 +22,10 @@
 }
 
 // Takes the checksum off the end of `message`. False: it does not fit what stands before it.
-inline bool take_checksum(std::string_view& message) {
+inline bool strip_checksum(std::string_view& message) {
   if (message.size() < kChecksumBytes) return false;
   const auto body = message.substr(0, message.size() - kChecksumBytes);
-  if (fixed(message, body.size(), kChecksumBytes) != XXH32(body.data(), body.size(), 0)) return false;
+  if (get_fixed(message, body.size(), kChecksumBytes) != XXH32(body.data(), body.size(), 0)) return false;
   message = body;
   return true;
 }
--- a/src/ledger/due_queue.h
+++ b/src/ledger/due_queue.h
@@ -14,10 +14,10 @@
 
 namespace cranemux::ledger {
 
-class Agenda {
+class DueQueue {
  public:
   // Looked at by then, or sooner where that was said already.
-  void by(std::uint32_t customer, Time when) {
+  void schedule(std::uint32_t customer, Time when) {
     const auto [at, fresh] = when_.try_emplace(customer, when);
     if (!fresh && at->second <= when) return;
     if (!fresh) order_.erase({at->second, customer});
@@ -26,13 +26,13 @@
   }
   bool contains(std::uint32_t customer) const { return when_.contains(customer); }
   // When the next one is due, or nothing.
-  std::optional<Time> next() const {
+  std::optional<Time> next_due() const {
     return order_.empty() ? std::nullopt : std::optional(order_.begin()->first);
   }
   // `look(customer)` says when to look again, or nothing where there is no more to say; in the order of
   // customers.
   template <typename Look>
-  void look(Time now, const Look& look) {
+  void process_due(Time now, const Look& look) {
     std::vector<std::uint32_t> due;
     for (auto at = order_.begin(); at != order_.end() && at->first <= now; at = order_.erase(at)) {
       due.push_back(at->second);
@@ -40,7 +40,7 @@
     }
     std::sort(due.begin(), due.end());
     for (const auto customer : due) {
-      if (const std::optional<Time> again = look(customer)) by(customer, *again);
+      if (const std::optional<Time> again = look(customer)) schedule(customer, *again);
     }
   }
 
--- a/src/ledger/leader_election.cpp
+++ b/src/ledger/leader_election.cpp
@@ -18,12 +18,12 @@
 
 // The first in the customer's order that is in the view of a member, which is always in its own.
 int first_of(std::uint32_t customer, int members, View view, int voter) {
-  return keeper_among(customer, members, [&](int m) { return m == voter || !holds_gone(view, m); });
+  return highest_ranked(customer, members, [&](int m) { return m == voter || !holds_gone(view, m); });
 }
 
 }  // namespace
 
-Beats beats_of(int members, double messages_per_s) {
+HeartbeatTimings heartbeat_timings(int members, double messages_per_s) {
   const double seconds = 2.0 * std::max(1, members - 1) / std::max(messages_per_s, 1e-3);
   const auto beat =
       std::clamp(Time(static_cast<std::int64_t>(std::min(seconds, 10.0) * 1e9)), kLeastBeat, kMostBeat);
@@ -31,75 +31,78 @@
   return {beat, lease, kSilence * beat, lease + kClockSlack};
 }
 
-Rights::Rights(int members, int self, std::uint16_t life, const Beats& beats, Time now)
+LeaderElection::LeaderElection(int members, int self, std::uint16_t life, const HeartbeatTimings& beats,
+                               Time now)
     : members_(members),
       self_(self),
       life_(life),
       beats_(beats),
       began_(now),
       others_(static_cast<std::size_t>(members)),
-      settled_at_(now + beats.quiet) {            // an earlier life may have voted just now
+      settled_at_(now + beats.vote_pause) {       // an earlier life may have voted just now
   for (auto& other : others_) other.heard = now;  // given the time of a silence to say something
 }
 
-Stamp Rights::stamp(Time now) const {
+Stamp LeaderElection::stamp(Time now) const {
   return static_cast<Stamp>((now - began_) / milliseconds(1)) & kStampMask;
 }
 
-bool Rights::heard(int from, std::uint16_t life, const Word& word, Time now) {
+bool LeaderElection::receive(int from, std::uint16_t life, const Heartbeat& word, Time now) {
   auto& other = others_[static_cast<std::size_t>(from)];
-  const bool known = other.epoch > 0 && other.life == life;
+  const bool known = other.generations_seen > 0 && other.life == life;
   // A stamp that lies a little behind is of a message that was overtaken; far behind, the number was drawn
   // again.
   const auto behind = (other.stamp - word.stamp) & kStampMask;
   if (known && behind > 0 && behind <= kOvertaken) return false;
-  if (!known || (behind > 0 && behind <= kStampMask / 2)) ++other.epoch;
+  if (!known || (behind > 0 && behind <= kStampMask / 2)) ++other.generations_seen;
   other.heard = now;
   other.life = life;
   other.stamp = word.stamp;
   other.view = word.view;
-  const bool answers = word.echoes && word.echo_life == life_;
+  const bool answers = word.has_echo && word.echo_generation == life_;
   const auto age = milliseconds((stamp(now) - word.echo) & kStampMask);
   other.vote_ends = answers ? now - age + beats_.lease : Time{-1};
   return true;
 }
 
-Word Rights::say(int to, Time now) const {
+Heartbeat LeaderElection::heartbeat_for(int to, Time now) const {
   const auto& other = others_[static_cast<std::size_t>(to)];
-  Word out;
+  Heartbeat out;
   out.stamp = stamp(now);
-  out.echoes = other.epoch > 0;
-  out.echo_life = other.life;
+  out.has_echo = other.generations_seen > 0;
+  out.echo_generation = other.life;
   out.echo = other.stamp;
   if (settled(now)) out.view = view_;
   return out;
 }
 
-bool Rights::look(Time now) {
+bool LeaderElection::update_view(Time now) {
   View view = 0;
   for (int m = 0; m < members_; ++m) {
     const auto& other = others_[static_cast<std::size_t>(m)];
-    if (m != self_ && now - other.heard > beats_.silence) view |= View{1} << static_cast<unsigned>(m);
+    if (m != self_ && now - other.heard > beats_.failure_timeout) view |= View{1} << static_cast<unsigned>(m);
   }
   if (view == view_) return false;
   view_ = view;
-  settled_at_ = now + beats_.quiet;
+  settled_at_ = now + beats_.vote_pause;
   return true;
 }
 
-int Rights::keeper(std::uint32_t customer) const { return first_of(customer, members_, view_, self_); }
+int LeaderElection::leader(std::uint32_t customer) const {
+  return first_of(customer, members_, view_, self_);
+}
 
-int Rights::heir(std::uint32_t customer, int without) const {
-  return keeper_among(customer, members_, [&](int m) { return m != without && !gone(m); });
+int LeaderElection::successor(std::uint32_t customer, int without) const {
+  return highest_ranked(customer, members_, [&](int m) { return m != without && !failed(m); });
 }
 
-bool Rights::votes_for_me(const Other& other, std::uint32_t customer, Time now) const {
+bool LeaderElection::votes_for_me(const Other& other, std::uint32_t customer, Time now) const {
   if (!other.view || now >= other.vote_ends) return false;
   const auto voter = static_cast<int>(&other - others_.data());
   return first_of(customer, members_, *other.view, voter) == self_;
 }
 
-int Rights::missing(std::uint32_t customer, Time now) const {
+int LeaderElection::missing_votes(std::uint32_t customer, Time now) const {
   int out = 0;
   for (int m = 0; m < members_; ++m) {
     out += m != self_ && !votes_for_me(others_[static_cast<std::size_t>(m)], customer, now);
@@ -107,17 +110,17 @@
   return out;
 }
 
-bool Rights::holds(std::uint32_t customer, Time now) const {
-  if (!settled(now) || keeper(customer) != self_) return false;
-  return 2 * (members_ - missing(customer, now)) > members_;
+bool LeaderElection::has_leadership(std::uint32_t customer, Time now) const {
+  if (!settled(now) || leader(customer) != self_) return false;
+  return 2 * (members_ - missing_votes(customer, now)) > members_;
 }
 
-std::vector<std::int64_t> Rights::picture(Time now) const {
+std::vector<std::int64_t> LeaderElection::state_snapshot(Time now) const {
   const auto left = [&](Time at) { return std::max<std::int64_t>(0, (at - now).count()); };
   std::vector<std::int64_t> out{static_cast<std::int64_t>(view_), left(settled_at_)};
   for (const auto& other : others_) {
     const bool votes = other.view && now < other.vote_ends;
-    out.push_back(left(other.heard + beats_.silence + Time(1)));
+    out.push_back(left(other.heard + beats_.failure_timeout + Time(1)));
     out.push_back(votes ? static_cast<std::int64_t>(*other.view) : -1);
     out.push_back(votes ? left(other.vote_ends) : 0);
     out.push_back(other.life);
--- a/src/ledger/leader_election.h
+++ b/src/ledger/leader_election.h
@@ -22,64 +22,66 @@
 
 using Time = std::chrono::nanoseconds;  // of the holder's steady clock
 using View = std::uint64_t;             // a bit for each member held gone
-constexpr int kMostGuarded = 63;        // members of a tier that guards its quotas
+constexpr int kMaxGuardedMembers = 63;  // members of a tier that guards its quotas
 
-struct Beats {
-  Time beat{};     // a message goes to every member at least this often
-  Time lease{};    // a vote counts for so long
-  Time silence{};  // who was not heard for so long is held gone
-  Time quiet{};    // no vote for so long after a change of view
+struct HeartbeatTimings {
+  Time interval{};         // a message goes to every member at least this often
+  Time lease{};            // a vote counts for so long
+  Time failure_timeout{};  // who was not heard for so long is held gone
+  Time vote_pause{};       // no vote for so long after a change of view
 };
 // `messages_per_s`: that one gatekeeper may send. Half of them carry votes where nothing else flows.
-Beats beats_of(int members, double messages_per_s);
+HeartbeatTimings heartbeat_timings(int members, double messages_per_s);
 
 // Milliseconds of a life, in 24 bits on the wire.
 using Stamp = std::uint32_t;
 constexpr Stamp kStampMask = 0xffffffU;
 
 // What a message says of this.
-struct Word {
-  Stamp stamp = 0;              // when it left, by its sender's life
-  std::uint16_t echo_life = 0;  // of the receiver, as the sender last heard it ...
-  Stamp echo = 0;               // ... and its stamp then
-  bool echoes = false;          // false: has heard nothing of it
-  std::optional<View> view;     // none: not settled
+struct Heartbeat {
+  Stamp stamp = 0;                    // when it left, by its sender's life
+  std::uint16_t echo_generation = 0;  // of the receiver, as the sender last heard it ...
+  Stamp echo = 0;                     // ... and its stamp then
+  bool has_echo = false;              // false: has heard nothing of it
+  std::optional<View> view;           // none: not settled
 };
 
-class Rights {
+class LeaderElection {
  public:
-  Rights(int members, int self, std::uint16_t life, const Beats& beats, Time now);
+  LeaderElection(int members, int self, std::uint16_t life, const HeartbeatTimings& beats, Time now);
 
   // False: the message was overtaken by a later one.
-  bool heard(int from, std::uint16_t life, const Word& word, Time now);
-  Word say(int to, Time now) const;
+  bool receive(int from, std::uint16_t life, const Heartbeat& word, Time now);
+  Heartbeat heartbeat_for(int to, Time now) const;
   // Takes a new look at whom it has heard. True: the view has changed.
-  bool look(Time now);
+  bool update_view(Time now);
 
-  bool gone(int member) const { return (view_ >> static_cast<unsigned>(member) & 1U) != 0; }
+  bool failed(int member) const { return (view_ >> static_cast<unsigned>(member) & 1U) != 0; }
   bool settled(Time now) const { return now >= settled_at_; }
   // Whom to ask about a customer, by the own view: the first in its order; itself where all others are gone.
-  int keeper(std::uint32_t customer) const;
+  int leader(std::uint32_t customer) const;
   // Who should have this one's ledger of the customer, if it is not `without`; -1: nobody is there.
-  int heir(std::uint32_t customer, int without) const;
+  int successor(std::uint32_t customer, int without) const;
   // May this one keep the customer's ledger, now?
-  bool holds(std::uint32_t customer, Time now) const;
+  bool has_leadership(std::uint32_t customer, Time now) const;
   // Members that do not vote for this one as the customer's keeper: their part is not its to give.
-  int missing(std::uint32_t customer, Time now) const;
-  const Beats& beats() const { return beats_; }
+  int missing_votes(std::uint32_t customer, Time now) const;
+  const HeartbeatTimings& timings() const { return beats_; }
   int members() const { return members_; }
   // Starts of a member that have been heard here, also where two drew the same number.
-  std::uint32_t epoch(int member) const { return others_[static_cast<std::size_t>(member)].epoch; }
+  std::uint32_t generations_seen(int member) const {
+    return others_[static_cast<std::size_t>(member)].generations_seen;
+  }
   View view() const { return view_; }
   // All that later behaviour depends on, with times as far from now as still matters: two with equal pictures
   // behave alike. For searches over states.
-  std::vector<std::int64_t> picture(Time now) const;
+  std::vector<std::int64_t> state_snapshot(Time now) const;
 
  private:
   struct Other {
     Time heard{-1};
     std::uint16_t life = 0;
-    std::uint32_t epoch = 0;
+    std::uint32_t generations_seen = 0;
     Stamp stamp = 0;           // its own, as last heard
     std::optional<View> view;  // its vote ...
     Time vote_ends{-1};        // ... counts until then
@@ -89,7 +91,7 @@
 
   const int members_, self_;
   const std::uint16_t life_;
-  const Beats beats_;
+  const HeartbeatTimings beats_;
   const Time began_;
   std::vector<Other> others_;
   View view_ = 0;
--- a/src/ledger/lease_requests.h
+++ b/src/ledger/lease_requests.h
@@ -62,7 +62,7 @@
   const std::uint64_t most = throttled ? kPressedLevel : kWholeShare;
   // Of another part's store nothing is known.
   const bool known = a.shards == 1 || a.shard == a.last_answered_shard;
-  const auto level = std::min(known ? told_level(a.plan->burst, a.tokens) : kWholeShare, most);
+  const auto level = std::min(known ? encode_level(a.plan->burst, a.tokens) : kWholeShare, most);
   a.optimistic_lease.reported();
   if (report) a.limit = std::max(a.limit, a.used_units);
   LeaseRequest request;
@@ -72,7 +72,7 @@
   request.wanted = wanted;
   request.number = number;
   request.hold = static_cast<std::uint64_t>(hold);
-  request.parts = static_cast<std::uint64_t>(a.shards);
+  request.shards = static_cast<std::uint64_t>(a.shards);
   request.owed = static_cast<std::uint64_t>(owed);
   request.report = last;
   return {plan, a.hash, request};
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -246,8 +246,9 @@
     if (number == lease.number()) no_leader_until = now + kRefusalTime;
   }
   // The part is on while nobody who is reached has the right.
-  void update_fallback(const Rights& rights, std::uint32_t customer, int self, Time now) {
-    const bool kept = rights.keeper(customer) == self ? rights.holds(customer, now) : now >= no_leader_until;
+  void update_fallback(const LeaderElection& rights, std::uint32_t customer, int self, Time now) {
+    const bool kept =
+        rights.leader(customer) == self ? rights.has_leadership(customer, now) : now >= no_leader_until;
     fallback_share.set_active(rights.settled(now) && !kept, now);
   }
 };
@@ -264,11 +265,11 @@
 class Ledgers {
  public:
   // `rights`: none where quotas are not guarded.
-  explicit Ledgers(const Rights* rights) : rights_(rights) {}
+  explicit Ledgers(const LeaderElection* rights) : rights_(rights) {}
 
   // May it keep that customer's, now?
   bool has_leadership(std::uint32_t customer, Time now) const {
-    return !rights_ || rights_->holds(customer, now);
+    return !rights_ || rights_->has_leadership(customer, now);
   }
   // Opens it where there is none: full, or empty where quotas are guarded, since another may have given all.
   Ledger& open(const Ledger& fresh, Time now) {
@@ -285,11 +286,11 @@
   void fill(Ledger& ledger, Time now) const {
     if (!rights_) return ledger.fill(now);
     ledger.refilled_at = std::max(ledger.refilled_at, now - kRefusalTime);  // as after a stall
-    if (!rights_->holds(ledger.customer, now)) {
+    if (!rights_->has_leadership(ledger.customer, now)) {
       ledger.refilled_at = now;
       return;
     }
-    const double missing = rights_->missing(ledger.customer, now);
+    const double missing = rights_->missing_votes(ledger.customer, now);
     ledger.fill(now, 1.0 - missing / rights_->members());
     // Credits that wait to be spent are still of the burst: it does not fill again beside them.
     ledger.tokens = std::min(ledger.tokens, std::max(0.0, ledger.burst - ledger.granted(now)));
@@ -317,7 +318,7 @@
   void start_transfers(int self, bool ends, Time now) {
     for (auto at = all_.begin(); at != all_.end();) {
       auto& ledger = at->second;
-      const bool stays = rights_->keeper(ledger.customer) == self || now - ledger.opened_at < kStays;
+      const bool stays = rights_->leader(ledger.customer) == self || now - ledger.opened_at < kStays;
       if (stays && !ends) {
         ++at;
         continue;
@@ -334,7 +335,7 @@
   template <typename Write>
   void send_transfers(int self, Time now, const Write& write) {
     for (auto& h : hands_) {
-      const int keeper = rights_->heir(h.customer, self);
+      const int keeper = rights_->successor(h.customer, self);
       if (now < h.due || keeper < 0) continue;
       write(keeper, h);
       ++h.times;
@@ -360,7 +361,7 @@
   static constexpr int kHandTimes = 3;
   static constexpr Time kStays = std::chrono::seconds(3);
   static constexpr Time kHandAgain = std::chrono::milliseconds(60);
-  const Rights* rights_;
+  const LeaderElection* rights_;
   std::map<std::uint32_t, Ledger> all_;
   std::uint32_t swept_ = 0;
   std::vector<PendingTransfer> hands_;
--- a/src/ledger/messages.cpp
+++ b/src/ledger/messages.cpp
@@ -13,7 +13,7 @@
 constexpr unsigned kRequestCode = 0, kLeaseCode = 1;
 constexpr unsigned kThirdCode = 2;  // a transfer where quotas are guarded, else a shed share
 
-unsigned code_of(const Entry& entry) {
+unsigned entry_code(const Entry& entry) {
   return std::min(static_cast<unsigned>(entry.message.index()), kThirdCode);
 }
 
@@ -32,27 +32,27 @@
 template <typename Message>
 bool read_message(std::string_view in, std::size_t& at, bool guarded, Entry& entry) {
   auto& message = entry.message.emplace<Message>();
-  return for_each_field(message, guarded, [&](std::uint64_t& field) { return get(in, at, field); });
+  return for_each_field(message, guarded, [&](std::uint64_t& field) { return get_varint(in, at, field); });
 }
 
 bool all_sane(std::initializer_list<std::uint64_t> figures) { return std::max(figures) <= kSaneFigure; }
-bool sane(const LeaseRequest& request) {
-  return request.parts >= 1 && all_sane({request.used, request.level, request.weight, request.hold,
-                                         request.parts, request.owed, request.report});
+bool plausible(const LeaseRequest& request) {
+  return request.shards >= 1 && all_sane({request.used, request.level, request.weight, request.hold,
+                                          request.shards, request.owed, request.report});
 }
-bool sane(const Lease& lease) { return all_sane({lease.incarnation, lease.limit, lease.level}); }
-bool sane(const Transfer& transfer) { return all_sane({transfer.level, transfer.number}); }
-bool sane(const ShedShare& shed) { return all_sane({shed.share}); }
+bool plausible(const Lease& lease) { return all_sane({lease.generation, lease.limit, lease.level}); }
+bool plausible(const Transfer& transfer) { return all_sane({transfer.level, transfer.number}); }
+bool plausible(const ShedShare& shed) { return all_sane({shed.share}); }
 
 }  // namespace
 
-void append(std::string& out, const Entry& entry, bool guarded) {
-  out += static_cast<char>(code_of(entry) | entry.plan << 2U);
+void append_entry(std::string& out, const Entry& entry, bool guarded) {
+  out += static_cast<char>(entry_code(entry) | entry.plan << 2U);
   put_fixed(out, entry.customer, 4);
   std::visit(
       [&](const auto& message) {
         for_each_field(message, guarded, [&](std::uint64_t field) {
-          put(out, field);
+          put_varint(out, field);
           return true;
         });
       },
@@ -60,12 +60,12 @@
 }
 
 std::optional<Entry> read_entry(std::string_view in, std::size_t& at, bool guarded) {
-  if (at + kEntryHead > in.size()) return std::nullopt;
+  if (at + kEntryHeaderBytes > in.size()) return std::nullopt;
   Entry entry;
-  const auto code = code_of(in, at);
+  const auto code = entry_code(in, at);
   entry.plan = static_cast<unsigned char>(in[at]) >> 2U;
-  entry.customer = static_cast<std::uint32_t>(fixed(in, at + 1, 4));
-  at += kEntryHead;
+  entry.customer = static_cast<std::uint32_t>(get_fixed(in, at + 1, 4));
+  at += kEntryHeaderBytes;
   bool whole = false;
   if (code == kRequestCode) whole = read_message<LeaseRequest>(in, at, guarded, entry);
   if (code == kLeaseCode) whole = read_message<Lease>(in, at, guarded, entry);
@@ -75,8 +75,8 @@
   return entry;
 }
 
-bool sane(const Entry& entry) {
-  return std::visit([](const auto& message) { return sane(message); }, entry.message);
+bool plausible(const Entry& entry) {
+  return std::visit([](const auto& message) { return plausible(message); }, entry.message);
 }
 
 }  // namespace cranemux::ledger
--- a/src/ledger/messages.h
+++ b/src/ledger/messages.h
@@ -21,13 +21,13 @@
   std::uint64_t wanted = 0;  // units, by what it holds; of a report: units that were refused by a shed share
   std::uint64_t number = 0;  // guarded: of the request; trusting: of the sender's changes of leader
   std::uint64_t hold = 0;    // what it holds is refused after so long, in 10 ms
-  std::uint64_t parts = 0;   // that the token bucket is divided into; at least one
+  std::uint64_t shards = 0;  // that the token bucket is divided into; at least one
   std::uint64_t owed = 0;    // of `used`: beyond the last lease
   std::uint64_t report = 0;  // trusting only: 0, 1 where nobody waits for an answer, 2 and the shed share
 
   template <typename Self>
   static auto fields(Self& self) {
-    return std::tie(self.used, self.level, self.weight, self.wanted, self.number, self.hold, self.parts,
+    return std::tie(self.used, self.level, self.weight, self.wanted, self.number, self.hold, self.shards,
                     self.owed, self.report);
   }
   static constexpr int kGuardedFields = 8;  // of them
@@ -35,7 +35,7 @@
 
 // The leader's answer.
 struct Lease {
-  std::uint64_t incarnation = 0;  // of who asked, its lower 16 bits
+  std::uint64_t generation = 0;  // of who asked, its lower 16 bits
   std::uint64_t limit = 0;   // units that it may have used in all that incarnation; or attempts out at once
   std::uint64_t level = 0;   // of the token bucket, in hundredths of the burst
   std::uint64_t number = 0;  // of the request that is answered
@@ -45,7 +45,7 @@
 
   template <typename Self>
   static auto fields(Self& self) {
-    return std::tie(self.incarnation, self.limit, self.level, self.number, self.pause, self.open);
+    return std::tie(self.generation, self.limit, self.level, self.number, self.pause, self.open);
   }
 };
 
@@ -76,17 +76,17 @@
   std::variant<LeaseRequest, Lease, Transfer, ShedShare> message;
 };
 
-constexpr std::size_t kEntryHead = 5;                    // bytes: kind and plan, customer
-constexpr std::size_t kShedShareBytes = kEntryHead + 1;  // of an entry with a share up to 100
-constexpr unsigned kNewsCode = 3;  // in place of an entry's kind: news of members follow
+constexpr std::size_t kEntryHeaderBytes = 5;                         // bytes: kind and plan, customer
+constexpr std::size_t kShedShareEntryBytes = kEntryHeaderBytes + 1;  // of an entry with a share up to 100
+constexpr unsigned kMembershipUpdatesCode = 3;  // in place of an entry's kind: news of members follow
 
-inline unsigned code_of(std::string_view in, std::size_t at) {
+inline unsigned entry_code(std::string_view in, std::size_t at) {
   return static_cast<unsigned char>(in[at]) & 3U;
 }
-void append(std::string& out, const Entry& entry, bool guarded);
+void append_entry(std::string& out, const Entry& entry, bool guarded);
 // Moves `at` past the entry. None: it is damaged, or of a kind that this form of quotas has not.
 std::optional<Entry> read_entry(std::string_view in, std::size_t& at, bool guarded);
 // Are its figures such that a gatekeeper may have sent them?
-bool sane(const Entry& entry);
+bool plausible(const Entry& entry);
 
 }  // namespace cranemux::ledger
--- a/src/ledger/quota_bound.cpp
+++ b/src/ledger/quota_bound.cpp
@@ -15,7 +15,7 @@
 
 Bound guarded(const Tier& tier, const Plan& plan) {
   Bound out;
-  const auto beats = beats_of(tier.gatekeepers, tier.messages_per_s);
+  const auto beats = heartbeat_timings(tier.gatekeepers, tier.messages_per_s);
   const int n = tier.gatekeepers;
   // What was granted in the life of a credit before the window may be used in it.
   out.terms.push_back(
@@ -32,7 +32,7 @@
     out.lost.push_back(
         {"a keeper that ends without handing over", "burst at most, filled again in burst / rate", lost});
     out.lost.push_back({"until another keeper has the right", "rate × (silence + 2 × quiet)",
-                        units_in(plan.rate, beats.silence + 2 * beats.quiet)});
+                        units_in(plan.rate, beats.failure_timeout + 2 * beats.vote_pause)});
     out.lost.push_back({"of a gatekeeper that ends", "its grants not used: rate × credit life",
                         units_in(plan.rate, kGuardedLeaseTime)});
     out.lost.push_back(
--- a/src/ledger/quota_state.h
+++ b/src/ledger/quota_state.h
@@ -18,14 +18,14 @@
   std::vector<PlanSettings> plans;
   std::uint32_t generation = 0;
   std::map<std::uint32_t, Account> accounts;
-  Agenda due_queue;  // accounts with something to ask or tell
+  DueQueue due_queue;  // accounts with something to ask or tell
   Nanos started_at = -1;
-  Nanos next_split = 0;        // of ledgers, by whoever of several modules comes to it first
-  std::unique_ptr<Mail> mail;  // from the start on
+  Nanos next_split = 0;                  // of ledgers, by whoever of several modules comes to it first
+  std::unique_ptr<Transport> transport;  // from the start on
   std::unique_ptr<Ledgers> ledgers;
-  std::unique_ptr<Leaders> leaders;  // from the start on
-  ShedTable throttled;               // where members are set aside
-  std::uint32_t swept = 0;           // accounts, up to there
+  std::unique_ptr<LeaderSelection> leader_selection;  // from the start on
+  ShedTable throttled;                                // where members are set aside
+  std::uint32_t swept = 0;                            // accounts, up to there
 
   // A customer's first request here, where all are told who is throttled: who is not may spend before it is
   // asked for, and `share` units whether its keeper is heard or not.
--- a/src/ledger/report.cpp
+++ b/src/ledger/report.cpp
@@ -26,12 +26,12 @@
 
 }  // namespace
 
-std::string tier_report(const Mail& mail, const Ledgers& ledgers, std::size_t on_parts, Time now) {
+std::string tier_report(const Transport& mail, const Ledgers& ledgers, std::size_t on_parts, Time now) {
   std::ostringstream out;
   out.precision(1);
   out << std::fixed;
   const auto& members = *mail.members();
-  const auto& rights = *mail.rights();
+  const auto& rights = *mail.leader_election();
   for (int m = 0; m < members.size(); ++m) {
     const auto& member = members.member(m);
     out << "member " << m;
@@ -42,7 +42,7 @@
     }
     out << ' ' << membership::kStateNames[static_cast<std::size_t>(member.state)] << " for "
         << seconds(now - member.since) << " s, in " << member.lives << " lives"
-        << (rights.gone(m) ? ", not heard: its ledgers are kept by others" : "") << '\n';
+        << (rights.failed(m) ? ", not heard: its ledgers are kept by others" : "") << '\n';
   }
   out << "tier: " << words_of(members.trouble(now)) << '\n';
   const auto& all = ledgers.all();
--- a/src/ledger/transport.h
+++ b/src/ledger/transport.h
@@ -22,45 +22,46 @@
 
 namespace cranemux::ledger {
 
-struct MailTerms {
+struct TransportSettings {
   int members = 1, self = 0;
-  std::uint16_t life = 0;
-  std::size_t message_bytes = 256;  // at most, checksum and all
-  double messages_per_s = 0;        // that may leave
-  double burst = 5;                 // that may leave at once after a quiet spell
-  bool flows = true;                // false: nothing leaves
+  std::uint16_t generation = 0;
+  std::size_t max_datagram_bytes = 256;  // at most, checksum and all
+  double messages_per_s = 0;             // that may leave
+  double burst = 5;                      // that may leave at once after a quiet spell
+  bool enabled = true;                   // false: nothing leaves
   bool guarded = false;
   std::uint64_t seed = 0;
-  int aside = 0;  // trusting: so many members, the last ones, are set aside to keep ledgers
+  int dedicated_leaders = 0;  // trusting: so many members, the last ones, are set aside to keep ledgers
 };
 
-class Mail {
+class Transport {
  public:
-  Mail(const MailTerms& terms, Time now);
+  Transport(const TransportSettings& terms, Time now);
 
-  void write(int to, const Entry& entry);
+  void enqueue(int to, const Entry& entry);
   // Of a member set aside: all gatekeepers are to hear it, with whatever goes to them next, or soon.
-  void tell(const ShedNotice& word) { words_.add(word); }
-  void tell(int to, const ShedNotice& word);
+  void notify_all(const ShedNotice& word) { words_.add(word); }
+  void notify(int to, const ShedNotice& word);
   // Lets go what the budget allows, the longest waiting first.
-  void post(Time now, const std::function<void(int to, std::string bytes)>& send);
-  bool waits() const { return !posts_.empty(); }
+  void send_due(Time now, const std::function<void(int to, std::string bytes)>& send);
+  bool has_pending() const { return !posts_.empty(); }
   // A member set aside that says nothing, not even its signs: it keeps no ledger now.
-  bool silent(int member, Time now) const;
+  bool dedicated_leader_failed(int member, Time now) const;
 
-  struct Letter {
-    std::uint32_t life = 0;  // of its sender; guarded: with how often that one has begun, in the upper bits
+  struct ReceivedMessage {
+    std::uint32_t generation =
+        0;  // of its sender; guarded: with how often that one has begun, in the upper bits
     std::vector<Entry> entries;
   };
   // None: it is no message of this form, or was overtaken by a later one. Entries from the first damaged one
   // on are left out.
-  std::optional<Letter> read(int from, std::string_view bytes, Time now);
+  std::optional<ReceivedMessage> receive(int from, std::string_view bytes, Time now);
 
   // Where quotas are guarded: votes flow to every member, whether there is mail or not. True: this
   // gatekeeper's view of who is there has changed. Call it at least every `every`.
-  bool beat(Time now);
-  Time every() const;
-  const Rights* rights() const { return rights_.get(); }
+  bool update_heartbeats(Time now);
+  Time heartbeat_check_interval() const;
+  const LeaderElection* leader_election() const { return rights_.get(); }
   const membership::Membership* members() const { return members_.get(); }
 
  private:
@@ -75,7 +76,7 @@
   std::string body(int to, Time now);                // of a message: all but its checksum
   std::size_t most_head() const, most_body() const;  // bytes
 
-  const MailTerms terms_;
+  const TransportSettings terms_;
   std::vector<Peer> peers_;
   const int tells_;  // the first so many members hear from it who is throttled
   std::deque<int> posts_;
@@ -83,7 +84,7 @@
   Time looked_{0};     // at who is to hear of them
   double stamps_ = 1;  // messages that may go now
   Time posted_;
-  std::unique_ptr<Rights> rights_;
+  std::unique_ptr<LeaderElection> rights_;
   std::unique_ptr<membership::Membership> members_;
 };
 
--- a/src/ledger/wire_encoding.h
+++ b/src/ledger/wire_encoding.h
@@ -17,12 +17,12 @@
 }
 
 // Varints of base 128 (LEB128, as in protobuf's encoding): seven bits a byte, the lowest first.
-inline void put(std::string& out, std::uint64_t value) {
+inline void put_varint(std::string& out, std::uint64_t value) {
   for (; value >= 128; value >>= 7U) out += static_cast<char>(value | 128U);
   out += static_cast<char>(value);
 }
 // Moves `at` past the figure. False: it is cut off or longer than 63 bits.
-inline bool get(std::string_view in, std::size_t& at, std::uint64_t& value) {
+inline bool get_varint(std::string_view in, std::size_t& at, std::uint64_t& value) {
   value = 0;
   for (unsigned shift = 0; at < in.size() && shift < 63; shift += 7) {
     const auto byte = static_cast<unsigned char>(in[at++]);
@@ -34,11 +34,11 @@
 
 // Levels travel in 100ths of what the store holds.
 constexpr double kLevelSteps = 100;
-inline std::uint64_t told_level(double burst, double level) {
+inline std::uint64_t encode_level(double burst, double level) {
   const double part = burst > 0 ? std::clamp(level / burst, 0.0, 1.0) : 1;
   return static_cast<std::uint64_t>(part * kLevelSteps);
 }
-inline double level_told(double burst, std::uint64_t told) {
+inline double decode_level(double burst, std::uint64_t told) {
   return burst * std::min(1.0, static_cast<double>(told) / kLevelSteps);
 }
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -42,7 +42,7 @@
   explicit Reader(std::string_view in) : in_(in) {}
   std::uint64_t figure(std::uint64_t most) {
     std::uint64_t value = 0;
-    good_ = good_ && ledger::get(in_, at_, value) && value <= most;
+    good_ = good_ && ledger::get_varint(in_, at_, value) && value <= most;
     return good_ ? value : 0;
   }
   std::uint8_t byte() {
@@ -97,12 +97,12 @@
                                 Time now) {
   std::string out(kSum, '\0');
   put_life(out, settings_.life);
-  ledger::put(out, age(began_, now));
+  ledger::put_varint(out, age(began_, now));
   out += static_cast<char>(incarnation_);
   out += static_cast<char>(kind);
-  ledger::put(out, static_cast<std::uint64_t>(member + 1));
-  ledger::put(out, static_cast<std::uint64_t>(asker + 1));
-  ledger::put(out, number);
+  ledger::put_varint(out, static_cast<std::uint64_t>(member + 1));
+  ledger::put_varint(out, static_cast<std::uint64_t>(asker + 1));
+  ledger::put_varint(out, number);
   if (out.size() > room) return {};
   // What has been told least often goes first.
   std::vector<std::pair<int, int>> order;
@@ -111,11 +111,11 @@
   for (const auto& [tellings, index] : order) {
     const auto& told = members_[static_cast<std::size_t>(index)];
     std::string entry;
-    ledger::put(entry, static_cast<std::uint64_t>(index));
+    ledger::put_varint(entry, static_cast<std::uint64_t>(index));
     entry +=
         static_cast<char>(static_cast<unsigned>(told.state) | static_cast<unsigned>(told.incarnation) << 2U);
     put_life(entry, told.life.number);
-    ledger::put(entry, age(told.life.began, now));
+    ledger::put_varint(entry, age(told.life.began, now));
     if (out.size() + entry.size() > room) break;
     out += entry;
     if (--news_[index].tellings <= 0) news_.erase(index);
--- a/testing/small_tier.h
+++ b/testing/small_tier.h
@@ -29,7 +29,7 @@
   }
   int members() const { return static_cast<int>(modules_.size()); }
   int keeper(const std::string& customer) const {
-    return ledger::keeper_at(ledger::hash_of(customer), 0, 0, 0, members() - aside_, members(), aside_);
+    return ledger::leader_at(ledger::hash_of(customer), 0, 0, 0, members() - aside_, members(), aside_);
   }
   void start(int i, int members) {
     Settings s;
--- a/tests/damage_test.cpp
+++ b/tests/damage_test.cpp
@@ -79,19 +79,19 @@
 // Whatever byte of a message is changed, and wherever it is cut, nothing of it is read.
 TEST(message_checksum, no_damaged_message_is_read) {
   for (const bool guarded : {false, true}) {
-    cranemux::ledger::MailTerms terms;
+    cranemux::ledger::TransportSettings terms;
     terms.members = 3;
     terms.messages_per_s = 100;
     terms.guarded = guarded;
     const std::chrono::nanoseconds now(kSecond);
-    cranemux::ledger::Mail sender(terms, now);
+    cranemux::ledger::Transport sender(terms, now);
     terms.self = 1;
-    sender.write(1, {0, 77, cranemux::ledger::LeaseRequest{12, 50, 3, 4, 9, 1, 1, 0, 0}});
+    sender.enqueue(1, {0, 77, cranemux::ledger::LeaseRequest{12, 50, 3, 4, 9, 1, 1, 0, 0}});
     std::string message;
-    sender.post(now, [&](int, std::string bytes) { message = std::move(bytes); });
+    sender.send_due(now, [&](int, std::string bytes) { message = std::move(bytes); });
     ASSERT_FALSE(message.empty());
     const auto read = [&](const std::string& bytes) {
-      return cranemux::ledger::Mail(terms, now).read(0, bytes, now).has_value();
+      return cranemux::ledger::Transport(terms, now).receive(0, bytes, now).has_value();
     };
     EXPECT_TRUE(read(message));
     for (std::size_t at = 0; at < message.size(); ++at) {
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -27,15 +27,15 @@
 TEST(keepers, one_that_goes_moves_only_what_it_kept) {
   std::array<int, 5> kept{};
   for (std::uint32_t customer = 0; customer < 5000; ++customer) {
-    const auto order = keepers_of(customer * 2654435761U, 5, 3);
+    const auto order = ranked_members(customer * 2654435761U, 5, 3);
     ASSERT_EQ(order.size(), 3U);
     ++kept[static_cast<std::size_t>(order[0])];
-    EXPECT_EQ(keeper_among(customer * 2654435761U, 5, [](int) { return true; }), order[0]);
-    const auto without = keeper_among(customer * 2654435761U, 5, [](int m) { return m != 2; });
+    EXPECT_EQ(highest_ranked(customer * 2654435761U, 5, [](int) { return true; }), order[0]);
+    const auto without = highest_ranked(customer * 2654435761U, 5, [](int m) { return m != 2; });
     EXPECT_EQ(without, order[0] == 2 ? order[1] : order[0]);
   }
   for (const int n : kept) EXPECT_NEAR(n, 1000, 150);
-  EXPECT_EQ(keeper_among(1, 3, [](int) { return false; }), -1);
+  EXPECT_EQ(highest_ranked(1, 3, [](int) { return false; }), -1);
 }
 
 // ---- parts of a ledger, pacing, the split ----
@@ -125,27 +125,27 @@
 // ---- frames ----
 
 TEST(frame, says_and_reads_a_word) {
-  const Word word{0x123456, 77, 0xfffffe, true, View{5}};
-  const auto bytes = head(3, 0xabcd, word) + "rest";
+  const Heartbeat word{0x123456, 77, 0xfffffe, true, View{5}};
+  const auto bytes = encode_header(3, 0xabcd, word) + "rest";
   std::uint16_t life = 0;
-  Word read;
+  Heartbeat read;
   std::size_t at = 0;
-  ASSERT_TRUE(read_head(bytes, 3, life, read, at));
+  ASSERT_TRUE(decode_header(bytes, 3, life, read, at));
   EXPECT_EQ(life, 0xabcd);
   EXPECT_EQ(read.stamp, word.stamp);
   EXPECT_EQ(read.echo, word.echo);
   EXPECT_EQ(read.view, word.view);
   EXPECT_EQ(bytes.substr(at), "rest");
-  EXPECT_FALSE(read_head(bytes, 2, life, read, at));  // a member that there is not
+  EXPECT_FALSE(decode_header(bytes, 2, life, read, at));  // a member that there is not
   for (std::size_t cut = 0; cut < 13; ++cut)
-    EXPECT_FALSE(read_head(bytes.substr(0, cut), 3, life, read, at)) << cut;
-  EXPECT_FALSE(read_head(std::string(14, '\xff'), 3, life, read, at));
+    EXPECT_FALSE(decode_header(bytes.substr(0, cut), 3, life, read, at)) << cut;
+  EXPECT_FALSE(decode_header(std::string(14, '\xff'), 3, life, read, at));
 }
 
 // ---- the right to keep ----
 
 constexpr int kDepth = 11;  // steps
-constexpr Beats kBeats{100ms, 200ms, 200ms, 220ms};
+constexpr HeartbeatTimings kBeats{100ms, 200ms, 200ms, 220ms};
 
 // A tier of three in steps of a beat. A script of events breaks it: which of the six ways are closed changes,
 // a gatekeeper starts anew, a message is held back and comes at any later step. All scripts of so many events
@@ -154,10 +154,10 @@
   struct Held {
     int from, to;
     std::uint16_t life;
-    Word word;
+    Heartbeat word;
     Time at;
   };
-  std::vector<Rights> rights;
+  std::vector<LeaderElection> rights;
   std::array<std::uint16_t, 3> life{1, 2, 3};
   std::uint16_t lives = 3;
   unsigned closed = 0;  // ways, a bit each
@@ -167,13 +167,13 @@
 
 std::uint32_t customer_in_order(int a, int b) {  // one whose keepers are a, then b
   for (std::uint32_t c = 1;; ++c) {
-    const auto order = keepers_of(c, 3, 3);
+    const auto order = ranked_members(c, 3, 3);
     if (order[0] == a && order[1] == b) return c;
   }
 }
 
 struct Search {
-  Beats beats;
+  HeartbeatTimings beats;
   int depth, most_events;
   std::size_t states = 0, transitions = 0, by_second = 0;
   bool two_hold = false;
@@ -182,7 +182,7 @@
     std::string out;
     const auto add = [&](std::int64_t v) { out.append(reinterpret_cast<const char*>(&v), sizeof v); };
     for (std::size_t i = 0; i < 3; ++i) {
-      for (const auto v : world.rights[i].picture(now)) add(v);
+      for (const auto v : world.rights[i].state_snapshot(now)) add(v);
       add(world.life[i]);
     }
     add(world.events * 64 + static_cast<std::int64_t>(world.closed));
@@ -200,11 +200,11 @@
     for (int i = 0; i < 3; ++i)
       whole.rights.emplace_back(3, i, static_cast<std::uint16_t>(i + 1), beats, Time(0));
     Time now(0);
-    for (int step = 0; step < 8; ++step) beat(whole, now += beats.beat, -1);
-    ASSERT_TRUE(whole.rights[0].holds(customer, now));
+    for (int step = 0; step < 8; ++step) beat(whole, now += beats.interval, -1);
+    ASSERT_TRUE(whole.rights[0].has_leadership(customer, now));
     std::vector<World> open{whole};
     for (int step = 0; step < depth && !two_hold; ++step) {
-      now += beats.beat;
+      now += beats.interval;
       std::vector<World> next;
       std::unordered_set<std::string> seen;
       for (const auto& world : open) {
@@ -246,40 +246,41 @@
   }
   static World released(const World& from, Time now) {
     World out = from;
-    out.rights[static_cast<std::size_t>(out.held->to)].heard(out.held->from, out.held->life, out.held->word,
-                                                             now);
+    out.rights[static_cast<std::size_t>(out.held->to)].receive(out.held->from, out.held->life, out.held->word,
+                                                               now);
     out.held.reset();
     return out;
   }
 
   // Everyone looks and speaks; what is said comes, or not. `hold`: the way whose message is held back.
   static void beat(World& world, Time now, int hold) {
-    for (auto& r : world.rights) r.look(now);
+    for (auto& r : world.rights) r.update_view(now);
     std::vector<World::Held> said;
     for (int a = 0; a < 3; ++a) {
       for (int b = 0; b < 3; ++b) {
         const auto& from = world.rights[static_cast<std::size_t>(a)];
-        if (a != b) said.push_back({a, b, world.life[static_cast<std::size_t>(a)], from.say(b, now), now});
+        if (a != b)
+          said.push_back({a, b, world.life[static_cast<std::size_t>(a)], from.heartbeat_for(b, now), now});
       }
     }
     for (std::size_t m = 0; m < said.size(); ++m) {
       if (static_cast<int>(m) == hold) {
         world.held = said[m];
       } else if ((world.closed >> m & 1U) == 0) {
-        world.rights[static_cast<std::size_t>(said[m].to)].heard(said[m].from, said[m].life, said[m].word,
-                                                                 now);
+        world.rights[static_cast<std::size_t>(said[m].to)].receive(said[m].from, said[m].life, said[m].word,
+                                                                   now);
       }
     }
   }
 
   // Now, and at any time until the next beat.
   void judge(const World& world, Time now) {
-    for (const auto at : {now, now + beats.beat / 2, now + beats.beat - 1ms}) {
+    for (const auto at : {now, now + beats.interval / 2, now + beats.interval - 1ms}) {
       int holders = 0;
-      for (const auto& r : world.rights) holders += r.holds(customer, at);
+      for (const auto& r : world.rights) holders += r.has_leadership(customer, at);
       two_hold = two_hold || holders > 1;
     }
-    by_second += world.rights[1].holds(customer, now);
+    by_second += world.rights[1].has_leadership(customer, now);
   }
 
   const std::uint32_t customer = customer_in_order(0, 1);
@@ -466,7 +467,7 @@
 
 // At the keeper: what was granted and not used lapses with the life of a credit, and has to be granted anew.
 TEST(ledgers, a_lapsed_grant_is_not_renewed_by_the_next_ask) {
-  const Rights rights(1, 0, 1, kBeats, 0s);
+  const LeaderElection rights(1, 0, 1, kBeats, 0s);
   Ledgers all(&rights);
   Ledger plan;
   plan.rate = 10;
@@ -506,7 +507,7 @@
 // A keeper that ends tells its heir what is left, three times against loss; it is taken once, and no more
 // than a burst.
 TEST(ledgers, what_is_handed_over_is_taken_once) {
-  Rights leaving(3, 0, 1, kBeats, 0s), staying(3, 1, 2, kBeats, 0s);
+  LeaderElection leaving(3, 0, 1, kBeats, 0s), staying(3, 1, 2, kBeats, 0s);
   Ledgers from(&leaving), to(&staying);
   Ledger plan;
   plan.customer = customer_in_order(0, 1);
--- a/tests/load_shedding_test.cpp
+++ b/tests/load_shedding_test.cpp
@@ -266,10 +266,10 @@
 TEST(throttled_tier, a_word_of_who_keeps_nothing_counts_for_nothing) {
   SmallTier tier(4, 1);
   tier.play(100 * kMs);
-  ledger::Mail forger({5, 1, 9, 256, 100, 5, true, false, 1, 1}, Time(tier.now));
-  forger.tell(0, {0, ledger::hash_of("someone"), 1});
+  ledger::Transport forger({5, 1, 9, 256, 100, 5, true, false, 1, 1}, Time(tier.now));
+  forger.notify(0, {0, ledger::hash_of("someone"), 1});
   std::string bytes;
-  forger.post(Time(tier.now), [&](int, std::string message) { bytes = std::move(message); });
+  forger.send_due(Time(tier.now), [&](int, std::string message) { bytes = std::move(message); });
   ASSERT_FALSE(bytes.empty());
   tier.feed(0, {PeerMessage{1, bytes}});
   for (int i = 0; i < 10; ++i) EXPECT_EQ(tier.ask(0), Fate::sent);
@@ -335,7 +335,7 @@
   for (const int gatekeepers : {3, 30, 470}) {
     for (const int aside : {1, 3, 5}) {
       const int members = gatekeepers + aside;
-      const double all = aside * ledger::messages_of(40, members - 1, members, aside);
+      const double all = aside * ledger::message_rate(40, members - 1, members, aside);
       EXPECT_LE(all / gatekeepers, 40);
       EXPECT_GE(all / gatekeepers, 30);
     }
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -13,10 +13,10 @@
 
 constexpr Time kNow = std::chrono::seconds(7);
 
-MailTerms terms_of(bool guarded) {
-  MailTerms terms;
+TransportSettings terms_of(bool guarded) {
+  TransportSettings terms;
   terms.members = 3;
-  terms.life = 0x1234;
+  terms.generation = 0x1234;
   terms.messages_per_s = 100;
   terms.guarded = guarded;
   return terms;
@@ -33,10 +33,10 @@
 }
 
 std::string datagram_of(bool guarded, const std::vector<Entry>& entries) {
-  Mail mail(terms_of(guarded), kNow);
-  for (const auto& entry : entries) mail.write(1, entry);
+  Transport mail(terms_of(guarded), kNow);
+  for (const auto& entry : entries) mail.enqueue(1, entry);
   std::string out;
-  mail.post(kNow, [&](int, std::string bytes) { out = std::move(bytes); });
+  mail.send_due(kNow, [&](int, std::string bytes) { out = std::move(bytes); });
   return out;
 }
 
@@ -60,7 +60,8 @@
 TEST(messages, fields_come_back_as_they_were_written) {
   for (const bool guarded : {false, true}) {
     std::string bytes;
-    for (const auto& entry : {kRequest, kLease, guarded ? kTransfer : kShed}) append(bytes, entry, guarded);
+    for (const auto& entry : {kRequest, kLease, guarded ? kTransfer : kShed})
+      append_entry(bytes, entry, guarded);
     std::size_t at = 0;
     const auto request = read_entry(bytes, at, guarded);
     const auto lease = read_entry(bytes, at, guarded);
@@ -76,7 +77,7 @@
     EXPECT_EQ(std::get<Lease>(lease->message).limit, 100000U);
     EXPECT_EQ(std::holds_alternative<Transfer>(last->message), guarded);
     EXPECT_EQ(std::holds_alternative<ShedShare>(last->message), !guarded);
-    for (std::size_t size = 0; size < kEntryHead + 9; ++size) {
+    for (std::size_t size = 0; size < kEntryHeaderBytes + 9; ++size) {
       std::size_t from = 0;
       EXPECT_FALSE(read_entry(std::string_view(bytes).substr(0, size), from, guarded)) << size;
     }
@@ -84,15 +85,15 @@
 }
 
 TEST(messages, figures_that_nobody_sends_are_not_sane) {
-  EXPECT_TRUE(sane(kRequest));
+  EXPECT_TRUE(plausible(kRequest));
   auto request = std::get<LeaseRequest>(kRequest.message);
-  request.parts = 0;
-  EXPECT_FALSE(sane({0, 1, request}));
-  request.parts = 1;
+  request.shards = 0;
+  EXPECT_FALSE(plausible({0, 1, request}));
+  request.shards = 1;
   request.owed = 2'000'000'000;
-  EXPECT_FALSE(sane({0, 1, request}));
-  EXPECT_FALSE(sane({0, 1, Lease{1, 2'000'000'000, 0, 0, 0, 0}}));
-  EXPECT_FALSE(sane({0, 1, Transfer{0, 2'000'000'000}}));
+  EXPECT_FALSE(plausible({0, 1, request}));
+  EXPECT_FALSE(plausible({0, 1, Lease{1, 2'000'000'000, 0, 0, 0, 0}}));
+  EXPECT_FALSE(plausible({0, 1, Transfer{0, 2'000'000'000}}));
 }
 
 }  // namespace
--- a/tests/optimistic_lease_test.cpp
+++ b/tests/optimistic_lease_test.cpp
@@ -73,21 +73,21 @@
   EXPECT_EQ(standing.due(), seconds(5));
 }
 
-TEST(Agenda, LooksAtWhatIsDueAndNothingElse) {
+TEST(DueQueue, LooksAtWhatIsDueAndNothingElse) {
   EXPECT_TRUE(rc::check("as a list that is walked whole", [] {
-    ledger::Agenda agenda;
+    ledger::DueQueue agenda;
     std::map<std::uint32_t, Time> whole;
     Time now{0};
     for (int step = 0; step < 40; ++step) {
       const auto customer = *rc::gen::inRange<std::uint32_t>(0, 6);
       const Time when = now + milliseconds(*rc::gen::inRange(0, 50));
-      agenda.by(customer, when);
+      agenda.schedule(customer, when);
       const auto [at, fresh] = whole.try_emplace(customer, when);
       at->second = std::min(at->second, when);
       now += milliseconds(*rc::gen::inRange(0, 20));
       const bool again = *rc::gen::arbitrary<bool>();
       std::vector<std::uint32_t> looked, wanted;
-      agenda.look(now, [&](std::uint32_t one) {
+      agenda.process_due(now, [&](std::uint32_t one) {
         looked.push_back(one);
         return again ? std::optional<Time>(now + milliseconds(30)) : std::nullopt;
       });
@@ -100,7 +100,8 @@
       for (std::uint32_t one = 0; one < 6; ++one) RC_ASSERT(agenda.contains(one) == whole.contains(one));
       const auto next = std::min_element(whole.begin(), whole.end(),
                                          [](const auto& a, const auto& b) { return a.second < b.second; });
-      RC_ASSERT(agenda.next() == (next == whole.end() ? std::nullopt : std::optional<Time>(next->second)));
+      RC_ASSERT(agenda.next_due() ==
+                (next == whole.end() ? std::nullopt : std::optional<Time>(next->second)));
     }
   }));
 }
@@ -109,19 +110,19 @@
   std::map<int, int> kept;
   for (std::uint32_t customer = 0; customer < 1000; ++customer) {
     std::set<int> ranks;
-    for (int rank = 0; rank < ledger::kKeepers; ++rank) {
-      const int keeper = ledger::keeper_at(customer * 2654435761U, 0, rank, 3, 7, 475, 5);
+    for (int rank = 0; rank < ledger::kLeaderReplicas; ++rank) {
+      const int keeper = ledger::leader_at(customer * 2654435761U, 0, rank, 3, 7, 475, 5);
       EXPECT_GE(keeper, 470);
       EXPECT_LT(keeper, 475);
       ranks.insert(keeper);
       if (rank == 0) ++kept[keeper];
     }
     EXPECT_EQ(ranks.size(), 3U);                                     // who stands in is another
-    EXPECT_LT(ledger::keeper_at(customer, 0, 0, 3, 7, 475, 0), 10);  // of its set, where none are set aside
+    EXPECT_LT(ledger::leader_at(customer, 0, 0, 3, 7, 475, 0), 10);  // of its set, where none are set aside
   }
   for (const auto& [keeper, count] : kept) EXPECT_NEAR(count, 200, 60) << keeper;
-  EXPECT_LE(ledger::messages_of(40, 3, 475, 5), 40);  // no more than one takes in, however many there are
-  EXPECT_GT(ledger::messages_of(40, 474, 475, 5), 1000);
+  EXPECT_LE(ledger::message_rate(40, 3, 475, 5), 40);  // no more than one takes in, however many there are
+  EXPECT_GT(ledger::message_rate(40, 474, 475, 5), 1000);
 }
 
 // Two gatekeepers and the messages between them.
@@ -145,7 +146,7 @@
     // One that the second keeps.
     for (customer = "0"; keeper() != 1;) customer += "0";
   }
-  int keeper() const { return ledger::keeper_at(ledger::hash_of(customer), 0, 0, 0, 2, 2, 0); }
+  int keeper() const { return ledger::leader_at(ledger::hash_of(customer), 0, 0, 0, 2, 2, 0); }
   // Asks at that one; returns how many it has sent on at once.
   std::size_t ask(int at) {
     const auto before = sent[at];
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -42,7 +42,7 @@
 struct recovery : ::testing::TestWithParam<bool> {
   recovery() {
     for (int rank = 0; rank < 3; ++rank) {
-      leaders[rank] = cranemux::ledger::keeper_at(cranemux::ledger::hash_of("someone"), 0, rank, 0, kMembers,
+      leaders[rank] = cranemux::ledger::leader_at(cranemux::ledger::hash_of("someone"), 0, rank, 0, kMembers,
                                                   kMembers, 0);
     }
     while (leads(bystander)) ++bystander;
@@ -259,7 +259,7 @@
   guarded_recovery() {
     for (int i = 0; customer.empty(); ++i) {
       const auto name = "calm" + std::to_string(i);
-      if (cranemux::ledger::keeper_among(cranemux::ledger::hash_of(name), 3, [](int) { return true; }) == 1)
+      if (cranemux::ledger::highest_ranked(cranemux::ledger::hash_of(name), 3, [](int) { return true; }) == 1)
         customer = name;
     }
     tier.play(2'000 * kMs);  // until it is settled who may keep
@@ -347,8 +347,8 @@
   constexpr double kQuota = 20, kStore = 40, kCreditLife = 0.25;
   constexpr Nanos kSpends = 1'000 * kMs;
   for (const int members : {2, 3, 5}) {
-    const int leader = cranemux::ledger::keeper_among(cranemux::ledger::hash_of("someone"), members,
-                                                      [](int) { return true; });
+    const int leader = cranemux::ledger::highest_ranked(cranemux::ledger::hash_of("someone"), members,
+                                                        [](int) { return true; });
     for (const Nanos length : {1'000, 2'500, 5'000}) {
       SmallTier guarded(members, 0, {{"rate", kQuota, kStore, 0, 0, 0, 0, 1, 0, 1}}, true);
       guarded.play(2'000 * kMs);
--- a/tests/soak_run.cpp
+++ b/tests/soak_run.cpp
@@ -208,9 +208,9 @@
   std::vector<int> leaders_of_busy() const {
     const auto customer = ledger::hash_of(tier_.senders.front()->name);
     const int all = plan_.gatekeepers;
-    if (plan_.guarded) return ledger::keepers_of(customer, all, 2);
-    return {ledger::keeper_at(customer, 0, 0, 0, all, all, 0),
-            ledger::keeper_at(customer, 0, 1, 0, all, all, 0)};
+    if (plan_.guarded) return ledger::ranked_members(customer, all, 2);
+    return {ledger::leader_at(customer, 0, 0, 0, all, all, 0),
+            ledger::leader_at(customer, 0, 1, 0, all, all, 0)};
   }
   // The second node stands in all files, or in none.
   void set_listed(bool listed) {
