--- a/src/gatekeeper.cpp
+++ b/src/gatekeeper.cpp
@@ -309,7 +309,7 @@
     if (other.pool->config().quota_group == config.quota_group) group = other.pool.get();
   }
   auto settings = config;
-  settings.settings.message_bytes = peers::kMostTagged;
+  settings.settings.message_bytes = peers::kMaxTaggedMessageBytes;
   settings.settings.seed ^= peers::tag_of(config.name);
   member.pool = std::make_shared<pool::Pool>(
       io_, settings, shared_, peers_, group,
--- a/src/gatekeeper_handover.cpp
+++ b/src/gatekeeper_handover.cpp
@@ -75,7 +75,7 @@
   state.module = pool.core().hand_over([this](const cranemux::SpentElsewhere& e) {
     giver_->tell({e.customer, e.units, e.settled});
   });
-  peers_.mute(true);
+  peers_.set_muted(true);
   state.list = pool.list();
   state.open_ids = listener.platform->open_ids();
   state.drained = lifecycle_.drained();
@@ -88,7 +88,7 @@
   if (!lifecycle_.take_back(net::Clock::now())) return;
   logger_.log(metrics::Level::warning, "the new process has ended: this one serves on");
   the_pool().core().take_back();
-  peers_.mute(false);
+  peers_.set_muted(false);
   listeners_.front().channels->pause(false);
   giver_->listen();
 }
--- a/src/ledger/leader_selection.h
+++ b/src/ledger/leader_selection.h
@@ -33,15 +33,15 @@
 
   // At the beginning of each turn, before anything else.
   void tick(Time now) { isolation_.tick(now); }
-  void record_request(int member) { isolation_.asked(member); }
+  void record_request(int member) { isolation_.record_request(member); }
   // Anything good from that member has come.
   void record_message(int member, Time now) {
-    isolation_.heard(now);
-    suspicion_.heard(member, now);
+    isolation_.record_message(now);
+    suspicion_.record_message(member, now);
     heard_[static_cast<std::size_t>(member)] = now;
   }
   // It hears nobody, and goes by its even shares.
-  bool isolated(Time now) const { return !terms_.guarded && terms_.members > 1 && isolation_.cut_off(now); }
+  bool isolated(Time now) const { return !terms_.guarded && terms_.members > 1 && isolation_.isolated(now); }
   tier::Suspicion& suspicion() { return suspicion_; }
 
   // Who is to be asked about the customer; -1: nobody is there. `silent(member)`: is it known to be gone?
@@ -118,7 +118,7 @@
   bool proves_nothing(const Account& a, int leader) const {
     if (!awaits_answer(a)) return false;
     if (a.leader < 0) return leader >= 0;  // nobody was asked
-    return Time(a.requested_at) < std::max(isolation_.evidence_from(), suspicion_.recovered(a.leader));
+    return Time(a.requested_at) < std::max(isolation_.evidence_valid_from(), suspicion_.recovered(a.leader));
   }
   // Has the guarded keeper that was asked been heard since its answer was due? Its votes come all the time,
   // so a question or an answer is lost, or it had no right to keep: it can be asked again soon.
--- a/src/ledger/report.cpp
+++ b/src/ledger/report.cpp
@@ -8,17 +8,17 @@
 
 double seconds(Time span) { return std::chrono::duration<double>(span).count(); }
 
-const char* words_of(membership::Trouble trouble) {
+const char* words_of(membership::TierCondition trouble) {
   switch (trouble) {
-    case membership::Trouble::few_gone:
+    case membership::TierCondition::some_failed:
       return "some gatekeepers are gone; their customers' quotas begin empty at other keepers";
-    case membership::Trouble::cut_off:
+    case membership::TierCondition::isolated:
       return "this gatekeeper hears none of the others: it is cut off, and gives out its own part only";
-    case membership::Trouble::split:
+    case membership::TierCondition::split:
       return "the tier seems split: the larger side gives out its share, the smaller its parts";
-    case membership::Trouble::all_new:
+    case membership::TierCondition::all_restarted:
       return "all gatekeepers have begun within seconds: quotas fill from nothing";
-    case membership::Trouble::none:
+    case membership::TierCondition::healthy:
       break;
   }
   return "all gatekeepers are heard";
@@ -36,15 +36,15 @@
     const auto& member = members.member(m);
     out << "member " << m;
     if (m == members.self()) {
-      out << " this one, for " << seconds(now - members.began()) << " s"
+      out << " this one, for " << seconds(now - members.started_at()) << " s"
           << (rights.settled(now) ? "" : ", votes for nobody yet") << '\n';
       continue;
     }
     out << ' ' << membership::kStateNames[static_cast<std::size_t>(member.state)] << " for "
-        << seconds(now - member.since) << " s, in " << member.lives << " lives"
+        << seconds(now - member.state_since) << " s, in " << member.generations_seen << " lives"
         << (rights.failed(m) ? ", not heard: its ledgers are kept by others" : "") << '\n';
   }
-  out << "tier: " << words_of(members.trouble(now)) << '\n';
+  out << "tier: " << words_of(members.tier_condition(now)) << '\n';
   const auto& all = ledgers.all();
   const auto held = std::count_if(all.begin(), all.end(),
                                   [&](const auto& item) { return ledgers.has_leadership(item.first, now); });
--- a/src/ledger/transport.cpp
+++ b/src/ledger/transport.cpp
@@ -22,9 +22,9 @@
   membership::Settings out;
   out.members = terms.members;
   out.self = terms.self;
-  out.life = terms.generation;
+  out.generation = terms.generation;
   out.seed = terms.seed;
-  out.terms.messages_per_s = terms.messages_per_s;
+  out.detection.messages_per_s = terms.messages_per_s;
   out.probes = false;  // votes flow to all, and prove as much
   return out;
 }
@@ -96,7 +96,7 @@
   }
   out = encode_header(kGuarded, terms_.generation, rights_->heartbeat_for(to, now)) + entries;
   if (out.size() + 1 >= most_body()) return out;
-  const auto news = members_->ride(most_body() - out.size() - 1, now);
+  const auto news = members_->piggyback(most_body() - out.size() - 1, now);
   if (!news.empty()) out += static_cast<char>(kMembershipUpdatesCode) + news;
   return out;
 }
@@ -143,11 +143,11 @@
     if (!decode_header(in, terms_.members, life, word, at) || !rights_->receive(from, life, word, now))
       return std::nullopt;
     out.generation |= rights_->generations_seen(from) << 16U;  // numbers may be drawn again
-    members_->heard(from, now);
+    members_->record_message(from, now);
   }
   while (at < in.size()) {
     if (entry_code(in, at) == kMembershipUpdatesCode && terms_.guarded) {
-      members_->told(from, in.substr(at + 1), now);
+      members_->receive(from, in.substr(at + 1), now);
       break;
     }
     const auto entry = read_entry(in, at, terms_.guarded);
@@ -161,7 +161,7 @@
 
 bool Transport::update_heartbeats(Time now) {
   if (!terms_.guarded) return false;
-  members_->due(now);
+  members_->take_due_messages(now);
   if (terms_.enabled) {
     for (int to = 0; to < terms_.members; ++to) {
       if (to != terms_.self &&
--- a/src/membership/detection_bounds.h
+++ b/src/membership/detection_bounds.h
@@ -11,55 +11,61 @@
 
 namespace cranemux::membership {
 
-struct Terms {
+struct DetectionSettings {
   int members = 2;
   double messages_per_s = 10;  // that one gatekeeper may send for this
   double loss = 0;             // of one message, 0 to 1
-  int helpers = 3;             // asked to reach a member that does not answer
+  int indirect_probers = 3;    // asked to reach a member that does not answer
   int suspicion_periods = 3;   // a suspect has so many, times log10 of the size, to refute it
 };
 
-inline int helpers_of(const Terms& t) { return std::max(0, std::min(t.helpers, t.members - 2)); }
+inline int indirect_probers_of(const DetectionSettings& t) {
+  return std::max(0, std::min(t.indirect_probers, t.members - 2));
+}
 
 // One probe fails: question or answer is lost.
-inline double probe_lost(double loss) { return 1 - (1 - loss) * (1 - loss); }
+inline double probe_loss(double loss) { return 1 - (1 - loss) * (1 - loss); }
 
 // A live member is suspected in one period of one prober: its probe fails, and all paths by helpers, of four
 // messages each.
-inline double false_suspicion(const Terms& t) {
+inline double false_suspicion_probability(const DetectionSettings& t) {
   const double path = 1 - std::pow(1 - t.loss, 4);
-  return probe_lost(t.loss) * std::pow(path, helpers_of(t));
+  return probe_loss(t.loss) * std::pow(path, indirect_probers_of(t));
 }
 
 // Messages that one gatekeeper sends in a period on average: its probe, the answer to another's, and by loss
 // the questions to helpers, what helpers send on, and their answers.
-inline double messages_a_period(const Terms& t) { return 2 + 4.0 * helpers_of(t) * probe_lost(t.loss); }
+inline double messages_per_period(const DetectionSettings& t) {
+  return 2 + 4.0 * indirect_probers_of(t) * probe_loss(t.loss);
+}
 
 // The shortest period within the budget.
-inline Time period_of(const Terms& t) {
-  const double seconds = messages_a_period(t) / std::max(t.messages_per_s, 1e-3);
+inline Time protocol_period(const DetectionSettings& t) {
+  const double seconds = messages_per_period(t) / std::max(t.messages_per_s, 1e-3);
   return Time(static_cast<std::int64_t>(std::clamp(seconds, 0.05, 60.0) * 1e9));
 }
 
 // Mean time from a member's end until somebody probes it: e/(e-1) periods (SWIM, 3.1).
-inline Time mean_first_suspicion(const Terms& t) {
-  return Time(static_cast<std::int64_t>(static_cast<double>(period_of(t).count()) * M_E / (M_E - 1)));
+inline Time mean_time_to_first_probe(const DetectionSettings& t) {
+  return Time(static_cast<std::int64_t>(static_cast<double>(protocol_period(t).count()) * M_E / (M_E - 1)));
 }
 // The longest until a given member probes it: probes go round by turns (SWIM, 4.3).
-inline Time longest_first_suspicion(const Terms& t) {
-  return period_of(t) * (2 * std::max(1, t.members - 1) - 1 + 1);
+inline Time max_time_to_probe(const DetectionSettings& t) {
+  return protocol_period(t) * (2 * std::max(1, t.members - 1) - 1 + 1);
 }
 
-inline Time suspicion_time(const Terms& t) {
+inline Time suspicion_timeout(const DetectionSettings& t) {
   const double periods = t.suspicion_periods * std::max(1.0, std::log10(t.members + 1.0));
-  return Time(static_cast<std::int64_t>(static_cast<double>(period_of(t).count()) * periods));
+  return Time(static_cast<std::int64_t>(static_cast<double>(protocol_period(t).count()) * periods));
 }
 
 // Mean time from a member's end until it is held gone by whoever found out first.
-inline Time mean_detection(const Terms& t) { return mean_first_suspicion(t) + suspicion_time(t); }
+inline Time mean_detection_time(const DetectionSettings& t) {
+  return mean_time_to_first_probe(t) + suspicion_timeout(t);
+}
 
 // Piggybacked news is told so many times by each before it is dropped: 3 log2 of the size (SWIM, 4.1: λ log
 // n).
-inline int tellings(int members) { return static_cast<int>(std::ceil(3 * std::log2(members + 1.0))); }
+inline int transmissions(int members) { return static_cast<int>(std::ceil(3 * std::log2(members + 1.0))); }
 
 }  // namespace cranemux::membership
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -62,7 +62,7 @@
   bool good_ = true;
 };
 
-Terms sized(Terms terms, int members) {
+DetectionSettings sized(DetectionSettings terms, int members) {
   terms.members = members;
   return terms;
 }
@@ -72,16 +72,16 @@
 Membership::Membership(const Settings& settings, Time now)
     : settings_(settings),
       began_(now),
-      period_(period_of(sized(settings.terms, settings.members))),
-      suspicion_(suspicion_time(sized(settings.terms, settings.members))),
+      period_(protocol_period(sized(settings.detection, settings.members))),
+      suspicion_(membership::suspicion_timeout(sized(settings.detection, settings.members))),
       random_(settings.seed),
       members_(static_cast<std::size_t>(settings.members)),
       next_period_(now +
                    Time(static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(period_.count())))) {
   auto& self = members_[static_cast<std::size_t>(settings_.self)];
   self.state = State::alive;
-  self.life = {settings_.life, now};
-  for (auto& member : members_) member.since = now;
+  self.generation = {settings_.generation, now};
+  for (auto& member : members_) member.state_since = now;
   spread(settings_.self);
 }
 
@@ -96,7 +96,7 @@
 std::string Membership::trailer(std::size_t room, Kind kind, int member, int asker, std::uint32_t number,
                                 Time now) {
   std::string out(kSum, '\0');
-  put_life(out, settings_.life);
+  put_life(out, settings_.generation);
   ledger::put_varint(out, age(began_, now));
   out += static_cast<char>(incarnation_);
   out += static_cast<char>(kind);
@@ -114,8 +114,8 @@
     ledger::put_varint(entry, static_cast<std::uint64_t>(index));
     entry +=
         static_cast<char>(static_cast<unsigned>(told.state) | static_cast<unsigned>(told.incarnation) << 2U);
-    put_life(entry, told.life.number);
-    ledger::put_varint(entry, age(told.life.began, now));
+    put_life(entry, told.generation.number);
+    ledger::put_varint(entry, age(told.generation.started_at, now));
     if (out.size() + entry.size() > room) break;
     out += entry;
     if (--news_[index].tellings <= 0) news_.erase(index);
@@ -125,15 +125,17 @@
   return out;
 }
 
-std::string Membership::ride(std::size_t room, Time now) { return trailer(room, Kind::none, -1, -1, 0, now); }
+std::string Membership::piggyback(std::size_t room, Time now) {
+  return trailer(room, Kind::none, -1, -1, 0, now);
+}
 
-std::vector<Message> Membership::due(Time now, std::size_t most) {
+std::vector<Message> Membership::take_due_messages(Time now, std::size_t most) {
   std::vector<Message> out;
   for (auto& member : members_) {
-    if (member.state != State::suspect || now < member.since + suspicion_) continue;
+    if (member.state != State::suspect || now < member.state_since + suspicion_) continue;
     const auto index = static_cast<int>(&member - members_.data());
-    ++counts_.gone;
-    set(index, State::gone, now);
+    ++counts_.failures;
+    set(index, State::failed, now);
     spread(index);
   }
   if (!settings_.probes || settings_.members < 2) return out;
@@ -156,11 +158,11 @@
     if (i != settings_.self && i != probe_->member && reachable(i)) others.push_back(i);
   }
   std::shuffle(others.begin(), others.end(), random_);
-  others.resize(std::min(others.size(), static_cast<std::size_t>(settings_.terms.helpers)));
+  others.resize(std::min(others.size(), static_cast<std::size_t>(settings_.detection.indirect_probers)));
   for (const int helper : others) {
-    ++counts_.asked_helpers;
+    ++counts_.indirect_probes;
     out.push_back(
-        {helper, trailer(most, Kind::please_probe, probe_->member, settings_.self, probe_->number, now)});
+        {helper, trailer(most, Kind::indirect_probe, probe_->member, settings_.self, probe_->number, now)});
   }
 }
 
@@ -179,7 +181,8 @@
   if (target < 0) return;
   // What has been heard within the period needs no question.
   const auto& member = members_[static_cast<std::size_t>(target)];
-  if (member.state == State::alive && member.heard != kNever && now - member.heard < period_) return;
+  if (member.state == State::alive && member.last_heard != kNever && now - member.last_heard < period_)
+    return;
   probe_ = Probe{target, ++number_, now, false};
   ++counts_.probes;
   out.push_back({target, trailer(most, Kind::probe, target, settings_.self, probe_->number, now)});
@@ -197,12 +200,12 @@
     }
     const int target = round_.back();
     round_.pop_back();
-    if (member(target).state != State::gone || random_() % 4 == 0) return target;
+    if (member(target).state != State::failed || random_() % 4 == 0) return target;
   }
   return -1;
 }
 
-Time Membership::next() const {
+Time Membership::next_due_at() const {
   auto at = next_period_;
   if (!owed_.empty()) at = Time{0};
   if (probe_ && !probe_->helped) at = std::min(at, probe_->sent + helper_wait());
@@ -211,10 +214,10 @@
 
 // ---- what comes in ----
 
-void Membership::heard(int from, Time now) {
+void Membership::record_message(int from, Time now) {
   if (from < 0 || from >= settings_.members || from == settings_.self) return;
   auto& member = members_[static_cast<std::size_t>(from)];
-  member.heard = now;
+  member.last_heard = now;
   if (member.state != State::alive) {
     set(from, State::alive, now);
     spread(from);
@@ -222,15 +225,15 @@
   if (probe_ && probe_->member == from) probe_.reset();
 }
 
-bool Membership::told(int from, std::string_view trailer, Time now) {
+bool Membership::receive(int from, std::string_view trailer, Time now) {
   if (from < 0 || from >= settings_.members || from == settings_.self) return false;
   if (!sum_fits(trailer)) {
     ++counts_.damaged;
     return false;
   }
   Reader in(trailer.substr(kSum));
-  Life life{in.life(), {}};
-  life.began = now - milliseconds(in.figure(kMostAge));
+  Generation life{in.life(), {}};
+  life.started_at = now - milliseconds(in.figure(kMostAge));
   const auto incarnation = in.byte();
   const auto kind = in.byte();
   const auto size = static_cast<std::uint64_t>(settings_.members);
@@ -240,7 +243,7 @@
     int index;
     State state;
     std::uint8_t incarnation;
-    Life life;
+    Generation generation;
   };
   std::vector<Item> items;
   while (in.good() && !in.ends()) {
@@ -249,51 +252,53 @@
     const auto both = in.byte();
     item.state = static_cast<State>(both & 3U);
     item.incarnation = both >> 2U;
-    item.life = {in.life(), {}};
-    item.life.began = now - milliseconds(in.figure(kMostAge));
-    if (item.state == State::unheard) continue;
+    item.generation = {in.life(), {}};
+    item.generation.started_at = now - milliseconds(in.figure(kMostAge));
+    if (item.state == State::unknown) continue;
     items.push_back(item);
   }
-  if (!in.good() || kind > static_cast<std::uint8_t>(Kind::please_probe) || incarnation >= kIncarnations) {
+  if (!in.good() || kind > static_cast<std::uint8_t>(Kind::indirect_probe) || incarnation >= kIncarnations) {
     ++counts_.damaged;
     return false;
   }
   const auto& known = members_[static_cast<std::size_t>(from)];
-  if (known.state != State::unheard && later_life(life, known.life) && !same_life(known.life, life)) {
-    ++counts_.old_lives;  // it has come late, or was sent again
+  if (known.state != State::unknown && is_later_generation(life, known.generation) &&
+      !is_same_generation(known.generation, life)) {
+    ++counts_.stale_generations;  // it has come late, or was sent again
     return false;
   }
   proved(from, life, incarnation, now);
-  for (const auto& item : items) news_of(item.index, item.state, item.incarnation, item.life, now);
+  for (const auto& item : items) news_of(item.index, item.state, item.incarnation, item.generation, now);
   act_on(from, static_cast<Kind>(kind), member, asker, number, now);
   return true;
 }
 
 // A message of its own is the best proof there is.
-void Membership::proved(int from, const Life& life, std::uint8_t incarnation, Time now) {
+void Membership::proved(int from, const Generation& life, std::uint8_t incarnation, Time now) {
   auto& member = members_[static_cast<std::size_t>(from)];
-  const bool fresh = member.state == State::unheard || !same_life(member.life, life);
+  const bool fresh = member.state == State::unknown || !is_same_generation(member.generation, life);
   if (fresh) {
-    ++member.lives;
-    if (member.state != State::unheard) ++counts_.new_lives;
-    member.life = life;
+    ++member.generations_seen;
+    if (member.state != State::unknown) ++counts_.new_generations;
+    member.generation = life;
     member.incarnation = incarnation;
     spread(from);
   } else {
-    member.life.began = std::min(member.life.began, life.began);
+    member.generation.started_at = std::min(member.generation.started_at, life.started_at);
     if (newer(incarnation, member.incarnation)) member.incarnation = incarnation;
   }
-  heard(from, now);
+  record_message(from, now);
 }
 
-void Membership::news_of(int index, State state, std::uint8_t incarnation, const Life& life, Time now) {
+void Membership::news_of(int index, State state, std::uint8_t incarnation, const Generation& life, Time now) {
   if (index == settings_.self) {
     // Rumours of this life are refuted; those of an earlier one are true.
-    const bool mine = life.number == settings_.life && !later_life(life, {settings_.life, began_});
+    const bool mine =
+        life.number == settings_.generation && !is_later_generation(life, {settings_.generation, began_});
     if (state == State::alive || !mine) return;
     if (incarnation == incarnation_ || newer(incarnation, incarnation_)) {
       incarnation_ = static_cast<std::uint8_t>((incarnation + 1) % kIncarnations);
-      ++counts_.refuted;
+      ++counts_.refutations;
       members_[static_cast<std::size_t>(index)].incarnation = incarnation_;
       spread(index);
     }
@@ -304,25 +309,26 @@
 
 // SWIM, 4.2: of one life the later incarnation wins, of one incarnation the worse news; a later life beats
 // all.
-void Membership::apply(int index, State state, std::uint8_t incarnation, const Life& life, Time now) {
+void Membership::apply(int index, State state, std::uint8_t incarnation, const Generation& life, Time now) {
   auto& member = members_[static_cast<std::size_t>(index)];
-  if (state == State::alive) member.vouched = now;
-  if (member.state == State::unheard || (later_life(member.life, life) && !same_life(member.life, life))) {
-    if (member.state != State::unheard) ++counts_.new_lives;
-    ++member.lives;
-    member.life = life;
+  if (state == State::alive) member.last_vouched_for = now;
+  if (member.state == State::unknown ||
+      (is_later_generation(member.generation, life) && !is_same_generation(member.generation, life))) {
+    if (member.state != State::unknown) ++counts_.new_generations;
+    ++member.generations_seen;
+    member.generation = life;
     member.incarnation = incarnation;
     set(index, state, now);
     spread(index);
     return;
   }
-  if (!same_life(member.life, life)) return;
-  member.life.began = std::min(member.life.began, life.began);
+  if (!is_same_generation(member.generation, life)) return;
+  member.generation.started_at = std::min(member.generation.started_at, life.started_at);
   const bool later = newer(incarnation, member.incarnation);
   const bool worse = incarnation == member.incarnation && state > member.state;
   // Hearsay does not stand against what was heard here just now.
   const bool contradicted =
-      state != State::alive && !later && member.heard != kNever && now - member.heard < period_;
+      state != State::alive && !later && member.last_heard != kNever && now - member.last_heard < period_;
   if ((!later && !worse) || contradicted) return;
   member.incarnation = incarnation;
   if (member.state == state) return;
@@ -339,7 +345,7 @@
   if (kind == Kind::probe) {
     ++counts_.answers;
     owe(from, Kind::answer, settings_.self, asker, number);
-  } else if (kind == Kind::please_probe && member >= 0 && member != settings_.self && asker >= 0) {
+  } else if (kind == Kind::indirect_probe && member >= 0 && member != settings_.self && asker >= 0) {
     if (relayed_.size() < kMostRelayed) relayed_.push_back({member, asker, number, now + period_});
     owe(member, Kind::probe, member, asker, number);
   } else if (kind == Kind::answer && member >= 0) {
@@ -350,7 +356,7 @@
     }
     std::erase_if(relayed_, [&](const Relayed& r) { return r.member == member && r.number == number; });
     if (probe_ && probe_->member == member && probe_->number == number && asker == settings_.self) {
-      members_[static_cast<std::size_t>(member)].vouched = now;
+      members_[static_cast<std::size_t>(member)].last_vouched_for = now;
       probe_.reset();
     }
   }
@@ -359,10 +365,10 @@
 void Membership::set(int index, State state, Time now) {
   auto& member = members_[static_cast<std::size_t>(index)];
   member.state = state;
-  member.since = now;
+  member.state_since = now;
 }
 
-void Membership::spread(int index) { news_[index].tellings = tellings(settings_.members); }
+void Membership::spread(int index) { news_[index].tellings = transmissions(settings_.members); }
 
 // ---- what it comes to ----
 
@@ -372,31 +378,32 @@
   return out;
 }
 
-Trouble Membership::trouble(Time now) const {
+TierCondition Membership::tier_condition(Time now) const {
   const int others = settings_.members - 1;
-  if (others < 1) return Trouble::none;
-  const int lost = count(State::gone) + count(State::suspect);
+  if (others < 1) return TierCondition::healthy;
+  const int lost = count(State::failed) + count(State::suspect);
   if (lost == 0) {
     // Everyone has begun at about the time when this one did.
     int young = 0;
     for (int i = 0; i < settings_.members; ++i) {
       const auto& m = member(i);
-      young += i != settings_.self && m.state == State::alive && m.life.began + kTogether >= began_;
+      young +=
+          i != settings_.self && m.state == State::alive && m.generation.started_at + kTogether >= began_;
     }
     const bool all = young == others && now - began_ < 3 * kTogether;
-    return all ? Trouble::all_new : Trouble::none;
+    return all ? TierCondition::all_restarted : TierCondition::healthy;
   }
-  if (lost == others && now - began_ > suspicion_) return Trouble::cut_off;
+  if (lost == others && now - began_ > suspicion_) return TierCondition::isolated;
   // Several that were lost together, and are not back one by one, are behind a split rather than dead.
   Time first = Time::max(), last = Time::min();
   for (int i = 0; i < settings_.members; ++i) {
     const auto& m = member(i);
-    if (i == settings_.self || (m.state != State::gone && m.state != State::suspect)) continue;
-    first = std::min(first, m.heard);
-    last = std::max(last, m.heard);
+    if (i == settings_.self || (m.state != State::failed && m.state != State::suspect)) continue;
+    first = std::min(first, m.last_heard);
+    last = std::max(last, m.last_heard);
   }
   const bool together = lost >= 2 && last - first <= 2 * period_ * std::max(1, settings_.members - 1);
-  return together ? Trouble::split : Trouble::few_gone;
+  return together ? TierCondition::split : TierCondition::some_failed;
 }
 
 }  // namespace cranemux::membership
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -25,13 +25,13 @@
 
 struct Settings {
   int members = 1, self = 0;
-  std::uint16_t life = 0;  // of this start, drawn at random
+  std::uint16_t generation = 0;  // of this start, drawn at random
   std::uint64_t seed = 0;
-  Terms terms;         // the budget; `members` there is not read
-  bool probes = true;  // false: learns from the mail that flows, and costs no message
+  DetectionSettings detection;  // the budget; `members` there is not read
+  bool probes = true;           // false: learns from the mail that flows, and costs no message
 };
 
-enum class Kind : std::uint8_t { none, probe, answer, please_probe };
+enum class Kind : std::uint8_t { none, probe, answer, indirect_probe };
 
 struct Message {
   int to = 0;
@@ -39,40 +39,40 @@
 };
 
 // What seems to be the matter, by all that is known here.
-enum class Trouble : std::uint8_t { none, few_gone, cut_off, split, all_new };
+enum class TierCondition : std::uint8_t { healthy, some_failed, isolated, split, all_restarted };
 
 class Membership {
  public:
   Membership(const Settings& settings, Time now);
 
   // A trailer to ride on any message to a member: at most `room` bytes, or empty where it does not fit.
-  std::string ride(std::size_t room, Time now);
+  std::string piggyback(std::size_t room, Time now);
   // A trailer that has come. False: it is damaged, or says what cannot be, and nothing has changed.
-  bool told(int from, std::string_view trailer, Time now);
+  bool receive(int from, std::string_view trailer, Time now);
   // A message with no trailer: it proves that its sender is there.
-  void heard(int from, Time now);
+  void record_message(int from, Time now);
 
   // Messages that are due: probes, answers, and what was asked for others. Call it at `next` at the latest.
-  std::vector<Message> due(Time now, std::size_t most_bytes = 256);
-  Time next() const;
+  std::vector<Message> take_due_messages(Time now, std::size_t most_bytes = 256);
+  Time next_due_at() const;
 
   const Member& member(int index) const { return members_[static_cast<std::size_t>(index)]; }
   int size() const { return settings_.members; }
   int self() const { return settings_.self; }
-  Time began() const { return began_; }
+  Time started_at() const { return began_; }
   bool reachable(int index) const {
     return index == settings_.self || member(index).state == State::alive ||
            member(index).state == State::suspect;
   }
   int count(State state) const;  // the others only
-  Trouble trouble(Time now) const;
+  TierCondition tier_condition(Time now) const;
   Time period() const { return period_; }
-  Time suspicion() const { return suspicion_; }
+  Time suspicion_timeout() const { return suspicion_; }
 
   struct Counts {
-    std::uint64_t probes = 0, answers = 0, asked_helpers = 0, suspicions = 0, refuted = 0, gone = 0,
-                  new_lives = 0;
-    std::uint64_t damaged = 0, old_lives = 0;
+    std::uint64_t probes = 0, answers = 0, indirect_probes = 0, suspicions = 0, refutations = 0, failures = 0,
+                  new_generations = 0;
+    std::uint64_t damaged = 0, stale_generations = 0;
   };
   const Counts& counts() const { return counts_; }
 
@@ -93,9 +93,9 @@
   };
 
   std::string trailer(std::size_t room, Kind kind, int member, int asker, std::uint32_t number, Time now);
-  void proved(int from, const Life& life, std::uint8_t incarnation, Time now);
-  void news_of(int index, State state, std::uint8_t incarnation, const Life& life, Time now);
-  void apply(int index, State state, std::uint8_t incarnation, const Life& life, Time now);
+  void proved(int from, const Generation& life, std::uint8_t incarnation, Time now);
+  void news_of(int index, State state, std::uint8_t incarnation, const Generation& life, Time now);
+  void apply(int index, State state, std::uint8_t incarnation, const Generation& life, Time now);
   void act_on(int from, Kind kind, int member, int asker, std::uint32_t number, Time now);
   void set(int index, State state, Time now);
   void spread(int index);
--- a/src/peers/datagram_batcher.cpp
+++ b/src/peers/datagram_batcher.cpp
@@ -24,7 +24,7 @@
 Tag tag_of(std::string_view ledger) { return XXH32(ledger.data(), ledger.size(), 0); }
 
 bool unpack(std::string_view datagram, const std::function<void(Tag, std::string_view)>& each) {
-  if (datagram.empty() || datagram[0] != kTagged || datagram.size() > kMostBytes) return false;
+  if (datagram.empty() || datagram[0] != kTagged || datagram.size() > kMaxDatagramBytes) return false;
   std::vector<std::pair<Tag, std::string_view>> messages;
   auto rest = datagram.substr(1);
   while (!rest.empty()) {
@@ -41,15 +41,15 @@
   return true;
 }
 
-bool Mailbag::put(Tag tag, int to, std::string bytes) {
-  if (bytes.size() > kMostTagged) return false;
+bool DatagramBatcher::enqueue(Tag tag, int to, std::string bytes) {
+  if (bytes.size() > kMaxTaggedMessageBytes) return false;
   auto box = std::find_if(boxes_.begin(), boxes_.end(), [&](const auto& b) { return b.tag == tag; });
   if (box == boxes_.end()) {
     boxes_.push_back({tag, {}});
     box = boxes_.end() - 1;
   }
   box->messages.push_back({to, std::move(bytes)});
-  if (++waiting_ <= kMostWaiting) return true;
+  if (++waiting_ <= kMaxQueuedMessages) return true;
   const auto fullest = std::max_element(boxes_.begin(), boxes_.end(), [](const auto& a, const auto& b) {
     return a.messages.size() < b.messages.size();
   });
@@ -58,7 +58,7 @@
   return false;
 }
 
-void Mailbag::refill(Time now) {
+void DatagramBatcher::refill(Time now) {
   if (filled_) {
     const std::chrono::duration<double> passed = now - *filled_;
     stamps_ = std::min(kBurst, stamps_ + rate_ * passed.count());
@@ -66,7 +66,7 @@
   filled_ = now;
 }
 
-std::optional<Mailbag::Datagram> Mailbag::next(Time now) {
+std::optional<DatagramBatcher::Datagram> DatagramBatcher::next(Time now) {
   refill(now);
   if (boxes_.empty() || stamps_ < 1) return std::nullopt;
   stamps_ -= 1;
@@ -80,11 +80,11 @@
   return datagram;
 }
 
-void Mailbag::ride_along(Datagram& datagram) {
+void DatagramBatcher::ride_along(Datagram& datagram) {
   for (auto& box : boxes_) {
     for (auto at = box.messages.begin(); at != box.messages.end();) {
-      if (datagram.bytes.size() + kHeader >= kMostBytes) return;
-      if (at->to != datagram.to || datagram.bytes.size() + kHeader + at->bytes.size() > kMostBytes) {
+      if (datagram.bytes.size() + kHeader >= kMaxDatagramBytes) return;
+      if (at->to != datagram.to || datagram.bytes.size() + kHeader + at->bytes.size() > kMaxDatagramBytes) {
         ++at;
         continue;
       }
@@ -95,7 +95,7 @@
   }
 }
 
-std::optional<Mailbag::Time> Mailbag::due() const {
+std::optional<DatagramBatcher::Time> DatagramBatcher::next_due_at() const {
   if (boxes_.empty() || !filled_) return std::nullopt;
   const double lacks = std::max(0.0, 1 - stamps_);
   return *filled_ + std::chrono::ceil<std::chrono::nanoseconds>(
--- a/src/peers/datagram_batcher.h
+++ b/src/peers/datagram_batcher.h
@@ -20,14 +20,15 @@
 using Tag = std::uint32_t;
 Tag tag_of(std::string_view ledger);  // XXH32 of the name
 
-constexpr std::size_t kMostBytes = 256;     // a longer datagram may not be sent
-constexpr std::size_t kMostTagged = 250;    // a message with its tag and length fits a datagram
-constexpr std::size_t kMostWaiting = 4096;  // messages; the oldest of the ledger with most waiting is dropped
+constexpr std::size_t kMaxDatagramBytes = 256;       // a longer datagram may not be sent
+constexpr std::size_t kMaxTaggedMessageBytes = 250;  // a message with its tag and length fits a datagram
+constexpr std::size_t kMaxQueuedMessages =
+    4096;  // messages; the oldest of the ledger with most waiting is dropped
 
 // Calls `each` for every message. False: damaged, and nothing was called.
 bool unpack(std::string_view datagram, const std::function<void(Tag, std::string_view)>& each);
 
-class Mailbag {
+class DatagramBatcher {
  public:
   using Time = std::chrono::steady_clock::time_point;
   struct Datagram {
@@ -35,14 +36,14 @@
     std::string bytes;
   };
 
-  explicit Mailbag(double datagrams_per_s) : rate_(datagrams_per_s) {}
+  explicit DatagramBatcher(double datagrams_per_s) : rate_(datagrams_per_s) {}
 
   // False: a message was dropped for it, since too many wait.
-  bool put(Tag tag, int to, std::string bytes);
+  bool enqueue(Tag tag, int to, std::string bytes);
   // The next datagram, if the budget has one and something waits. Ledgers take turns; what others have for
   // the same peer rides along while it fits, so a quiet ledger loses nothing to a busy one.
   std::optional<Datagram> next(Time now);
-  std::optional<Time> due() const;  // when `next` is worth calling again; none while nothing waits
+  std::optional<Time> next_due_at() const;  // when `next` is worth calling again; none while nothing waits
   std::size_t waiting() const { return waiting_; }
 
  private:
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -10,13 +10,14 @@
 
 }  // namespace
 
-Line::Line(PeerLink& link, Tag tag, core::Core& core) : tag(tag), core(core), link_(link) {
+LedgerEndpoint::LedgerEndpoint(PeerLink& link, Tag tag, core::Core& core)
+    : tag(tag), core(core), link_(link) {
   link_.lines_.push_back(this);
 }
 
-Line::~Line() { std::erase(link_.lines_, this); }
+LedgerEndpoint::~LedgerEndpoint() { std::erase(link_.lines_, this); }
 
-void Line::tell(int to, const std::string& bytes) { link_.tell(*this, to, bytes); }
+void LedgerEndpoint::tell(int to, const std::string& bytes) { link_.tell(*this, to, bytes); }
 
 PeerLink::PeerLink(net::asio::io_context& io, const std::optional<config::Address>& listen,
                    const std::vector<config::Address>& peers, metrics::Logger& logger,
@@ -54,7 +55,7 @@
   net::spawn(socket_.get_executor(), logger_, "peer messages", receive());
 }
 
-void PeerLink::mute(bool muted) {
+void PeerLink::set_muted(bool muted) {
   muted_ = muted;
   boost::system::error_code ignored;
   if (muted) socket_.cancel(ignored);
@@ -65,19 +66,19 @@
 
 void PeerLink::tag_messages(double datagrams_per_s) { bag_.emplace(datagrams_per_s); }
 
-std::unique_ptr<Line> PeerLink::join(const std::string& ledger, core::Core& core) {
-  return std::make_unique<Line>(*this, tag_of(ledger), core);
+std::unique_ptr<LedgerEndpoint> PeerLink::join(const std::string& ledger, core::Core& core) {
+  return std::make_unique<LedgerEndpoint>(*this, tag_of(ledger), core);
 }
 
-void PeerLink::tell(const Line& line, int to, const std::string& bytes) {
-  const auto most = bag_ ? kMostTagged : kMostBytes;
+void PeerLink::tell(const LedgerEndpoint& line, int to, const std::string& bytes) {
+  const auto most = bag_ ? kMaxTaggedMessageBytes : kMaxDatagramBytes;
   if (!socket_.is_open() || muted_ || to < 0 || static_cast<std::size_t>(to) >= peers_.size() ||
       bytes.size() > most) {
     ++counters_.peer_dropped;
     return;
   }
   if (!bag_) return send(to, bytes);
-  if (!bag_->put(line.tag, to, bytes)) ++counters_.peer_crowded;
+  if (!bag_->enqueue(line.tag, to, bytes)) ++counters_.peer_crowded;
   flush();
 }
 
@@ -90,7 +91,7 @@
 void PeerLink::flush() {
   const auto now = net::Clock::now();
   while (const auto datagram = bag_->next(now)) send(datagram->to, datagram->bytes);
-  const auto due = bag_->due();
+  const auto due = bag_->next_due_at();
   if (!due || timer_.expiry() == *due) return;
   timer_.expires_at(*due);
   timer_.async_wait([this](const boost::system::error_code& error) {
@@ -105,7 +106,7 @@
 }
 
 // The one that came last: a pool that was replaced may be at work for a while beside its successor.
-Line* PeerLink::line_of(Tag tag) {
+LedgerEndpoint* PeerLink::line_of(Tag tag) {
   const auto at =
       std::find_if(lines_.rbegin(), lines_.rend(), [&](const auto* line) { return line->tag == tag; });
   return at == lines_.rend() ? nullptr : *at;
@@ -137,14 +138,14 @@
     if (error == net::asio::error::operation_aborted) break;
     if (error) continue;  // such as word that an earlier datagram found nobody
     const auto peer = std::find(peers_.begin(), peers_.end(), from);
-    if (peer == peers_.end() || count > kMostBytes) {
+    if (peer == peers_.end() || count > kMaxDatagramBytes) {
       ++counters_.peer_dropped;
       continue;
     }
     received(static_cast<int>(peer - peers_.begin()), {bytes.data(), count});
   }
   hears_ = false;
-  if (!muted_ && socket_.is_open()) mute(false);  // unmuted before it had noticed
+  if (!muted_ && socket_.is_open()) set_muted(false);  // unmuted before it had noticed
 }
 
 }  // namespace cranemux::peers
--- a/src/pool/pool.cpp
+++ b/src/pool/pool.cpp
@@ -33,7 +33,7 @@
           [this](const config::ResolverResult& result, cranemux::ListScope scope) {
             list_changed(nodes_.told(result, scope != cranemux::ListScope::changes), scope);
           },
-          resolver::pacing_of(config.settings), logger, counters),
+          resolver::call_pacing_for(config.settings), logger, counters),
       turn_timer_(io) {
   core_.connect(attempts_, *line_, *this);
 }
@@ -83,7 +83,7 @@
 
 void Pool::move_discovery(const config::Address& to) {
   config_.discovery = to;
-  resolver_.move(to);
+  resolver_.set_discovery(to);
 }
 
 void Pool::leave() { leaving_ = true; }
--- a/src/pool/pool.h
+++ b/src/pool/pool.h
@@ -71,7 +71,7 @@
   NodeList nodes_;
   core::Core core_;
   attempt::Attempts attempts_;
-  std::unique_ptr<peers::Line> line_;
+  std::unique_ptr<peers::LedgerEndpoint> line_;
   resolver::Resolver resolver_;
   net::asio::steady_timer turn_timer_;
   net::Clock::time_point turn_timer_at_ = net::Clock::time_point::max();
--- a/src/resolver/call_pacing.cpp
+++ b/src/resolver/call_pacing.cpp
@@ -15,45 +15,47 @@
 
 }  // namespace
 
-Pacing::Pacing(int gatekeepers, std::uint64_t seed, Time longest, const Patience& patience)
+CallPacing::CallPacing(int gatekeepers, std::uint64_t seed, Time longest, const Timeouts& patience)
     : random_(seed),
-      spread_(std::min<Time>(kKnown, Time(std::llround(1e9 * std::max(0, gatekeepers - 1) / kCalls)))),
+      spread_(std::min<Time>(kMaxSpread,
+                             Time(std::llround(1e9 * std::max(0, gatekeepers - 1) / kTierCallsPerSecond)))),
       longest_alone_(longest),
       patience_(patience) {}
 
-Pacing::Time Pacing::longest() const {
+CallPacing::Time CallPacing::max_wait() const {
   return std::max<Time>(longest_alone_, std::chrono::duration_cast<Time>(spread_ * kLongestOfAll));
 }
 
-Pacing::Time Pacing::again(bool good) {
+CallPacing::Time CallPacing::wait_after_watch(bool good) {
   failures_ = good ? 0 : std::min(failures_ + 1, kDoublings);
-  if (good) return kFirst + part_of(spread_);
-  const auto span = std::min(longest(), std::max<Time>(kFirst, spread_) * (1 << failures_));
+  if (good) return kMinWait + part_of(spread_);
+  const auto span = std::min(max_wait(), std::max<Time>(kMinWait, spread_) * (1 << failures_));
   return span / 2 + part_of(span / 2);
 }
 
-Pacing::Time Pacing::after_silence(bool good) {
-  const auto wait = again(good);
+CallPacing::Time CallPacing::wait_after_silence(bool good) {
+  const auto wait = wait_after_watch(good);
   if (spread_ <= Time(0)) return wait;  // nobody else waits for this machine's own agent
-  return kFirst + part_of(std::min<Time>(spread_, kTold - patience_.silence - kAnswer - kFirst));
+  return kMinWait +
+         part_of(std::min<Time>(spread_, kChangesKnownAfter - patience_.silence - kCallAllowance - kMinWait));
 }
 
-Pacing::Time Pacing::part_of(Time most) {
+CallPacing::Time CallPacing::part_of(Time most) {
   const double part = static_cast<double>(random_() >> 11U) / static_cast<double>(1ULL << 53U);
   return Time(std::llround(part * static_cast<double>(most.count())));
 }
 
 // A stream of its own from the process's one seed: the module draws from the seed itself.
-Pacing pacing_of(const cranemux::Settings& settings) {
+CallPacing call_pacing_for(const cranemux::Settings& settings) {
   constexpr std::uint64_t kStream = 0x9e3779b97f4a7c15;
   const auto seed = settings.seed ^ kStream;
   if (settings.list_on_request) return {settings.gateways, seed};
   // A call and the wait after it: three quarters of the grace together.
-  using Time = Pacing::Time;
+  using Time = CallPacing::Time;
   const Time grace(settings.drain_grace);
-  Pacing::Patience patience;
-  patience.head = std::clamp<Time>(grace / 2, kLeastHead, kMostHead);
-  return {1, seed, std::clamp<Time>(grace / 4, Pacing::kFirst, Pacing::kLongest), patience};
+  CallPacing::Timeouts patience;
+  patience.response_head = std::clamp<Time>(grace / 2, kLeastHead, kMostHead);
+  return {1, seed, std::clamp<Time>(grace / 4, CallPacing::kMinWait, CallPacing::kMaxWait), patience};
 }
 
 }  // namespace cranemux::resolver
--- a/src/resolver/call_pacing.h
+++ b/src/resolver/call_pacing.h
@@ -12,41 +12,43 @@
 
 namespace cranemux::resolver {
 
-class Pacing {
+class CallPacing {
  public:
   using Time = std::chrono::nanoseconds;
-  static constexpr double kCalls = 20;  // a second, of the whole tier, and more only where ...
-  static constexpr std::chrono::milliseconds kKnown{4000};  // ... all would not have called within this
-  static constexpr std::chrono::milliseconds kFirst{50}, kLongest{1000};  // waits of a gatekeeper alone
-  static constexpr std::chrono::milliseconds kMoved{2000};  // at most: a new address counts as known soon
+  static constexpr double kTierCallsPerSecond = 20;  // a second, of the whole tier, and more only where ...
+  static constexpr std::chrono::milliseconds kMaxSpread{4000};  // ... all would not have called within this
+  static constexpr std::chrono::milliseconds kMinWait{50}, kMaxWait{1000};  // waits of a gatekeeper alone
+  static constexpr std::chrono::milliseconds kMaxMoveWait{
+      2000};  // at most: a new address counts as known soon
   // An empty line comes every 2 s while nothing changes. A watch that misses one is left: what it would bring
   // counts as told 6 s after it fell silent, and the calls after it may fail, too.
-  static constexpr std::chrono::milliseconds kSilence{2500};
-  static constexpr std::chrono::milliseconds kTold{6000};   // by the protocol
-  static constexpr std::chrono::milliseconds kAnswer{300};  // what a call and its answer may take of it
+  static constexpr std::chrono::milliseconds kSilenceTimeout{2500};
+  static constexpr std::chrono::milliseconds kChangesKnownAfter{6000};  // by the protocol
+  static constexpr std::chrono::milliseconds kCallAllowance{
+      300};  // what a call and its answer may take of it
 
   // How long a watch is waited for.
-  struct Patience {
+  struct Timeouts {
     // Of the answer to a call, from its beginning. A discovery that all share works on calls that nobody
     // waits for any more, too: so no less than it takes to fail one by itself (2 s).
-    Time head{std::chrono::milliseconds(2500)};
-    Time silence{kSilence};  // of a watch that is open
+    Time response_head{std::chrono::milliseconds(2500)};
+    Time silence{kSilenceTimeout};  // of a watch that is open
   };
 
-  Pacing(int gatekeepers, std::uint64_t seed) : Pacing(gatekeepers, seed, kLongest, Patience()) {}
+  CallPacing(int gatekeepers, std::uint64_t seed) : CallPacing(gatekeepers, seed, kMaxWait, Timeouts()) {}
   // `longest`: wait of a gatekeeper alone.
-  Pacing(int gatekeepers, std::uint64_t seed, Time longest, const Patience& patience);
-  Time first() { return part_of(spread_); }
-  Time moved() { return part_of(std::min<Time>(spread_, kMoved)); }
+  CallPacing(int gatekeepers, std::uint64_t seed, Time longest, const Timeouts& patience);
+  Time initial_wait() { return part_of(spread_); }
+  Time wait_after_move() { return part_of(std::min<Time>(spread_, kMaxMoveWait)); }
   // After a watch that has ended: a good one lasted, and brought something.
-  Time again(bool good);
+  Time wait_after_watch(bool good);
   // After one that has fallen silent and was left for it: what it misses counts as told kTold after it fell
   // silent, so the call and its answer have to come by then, also of the last of a tier whose watches all
   // fell silent at once. That is 1.3 times the calls a second that start or end together, where there are
   // more than 64 gatekeepers, and the same with fewer.
-  Time after_silence(bool good);
-  Time longest() const;  // wait between two calls
-  const Patience& patience() const { return patience_; }
+  Time wait_after_silence(bool good);
+  Time max_wait() const;  // wait between two calls
+  const Timeouts& timeouts() const { return patience_; }
   Time spread() const { return spread_; }
 
  private:
@@ -55,7 +57,7 @@
   std::mt19937_64 random_;
   Time spread_;  // of calls that begin together
   Time longest_alone_;
-  Patience patience_;
+  Timeouts patience_;
   int failures_ = 0;
 };
 
@@ -63,6 +65,6 @@
 // for it, and what it has counts as told at once, also when it has been silent or unreachable until then.
 // There each gatekeeper calls as if alone, and a call that is not answered is given up, and made again,
 // within the grace that a drain leaves.
-Pacing pacing_of(const cranemux::Settings& settings);
+CallPacing call_pacing_for(const cranemux::Settings& settings);
 
 }  // namespace cranemux::resolver
--- a/src/resolver/object_reader.cpp
+++ b/src/resolver/object_reader.cpp
@@ -34,16 +34,16 @@
   }
 }
 
-ObjectReader::State ObjectReader::take(std::string& text) {
+ObjectReader::State ObjectReader::consume(std::string& text) {
   if (depth_ == 0) object_.clear();
   std::size_t at = 0;
-  auto state = State::more;
-  while (state == State::more && at < text.size()) {
+  auto state = State::incomplete;
+  while (state == State::incomplete && at < text.size()) {
     const bool within = depth_ > 0;
     const bool good = byte(text[at++]);
     if (within || depth_ > 0) object_ += text[at - 1];
     if (!good || object_.size() > most_) state = State::damaged;
-    if (state == State::more && within && depth_ == 0) state = State::object;
+    if (state == State::incomplete && within && depth_ == 0) state = State::object;
   }
   text.erase(0, at);
   return state;
--- a/src/resolver/object_reader.h
+++ b/src/resolver/object_reader.h
@@ -10,11 +10,11 @@
 
 class ObjectReader {
  public:
-  enum class State { more, object, damaged };
+  enum class State { incomplete, object, damaged };
 
   explicit ObjectReader(std::size_t most) : most_(most) {}  // bytes of one object
   // Takes from the front of `text`. `object`: one is whole, see object(); call again for what follows.
-  State take(std::string& text);
+  State consume(std::string& text);
   const std::string& object() const { return object_; }
 
  private:
--- a/src/resolver/resolver.cpp
+++ b/src/resolver/resolver.cpp
@@ -25,7 +25,7 @@
 }
 
 Resolver::Resolver(net::asio::io_context& io, const config::Address& discovery, Listener listener,
-                   const Pacing& pacing, metrics::Logger& logger, metrics::Counters& counters)
+                   const CallPacing& pacing, metrics::Logger& logger, metrics::Counters& counters)
     : socket_(io),
       timer_(io),
       discovery_(discovery),
@@ -37,14 +37,14 @@
 }
 
 void Resolver::start(const config::ResolverResult& known, bool watches) {
-  intake_.begin(known);
+  intake_.start(known);
   listener_(known, cranemux::ListScope::stored);
   if (watches) scope_.spawn(socket_.get_executor(), logger_, "discovery", watch());
 }
 
 // Who is listed stays in use until the new address tells more. Versions there may be numbered differently, so
 // the whole list is asked for.
-void Resolver::move(const config::Address& discovery) {
+void Resolver::set_discovery(const config::Address& discovery) {
   discovery_ = discovery;
   moved_ = true;
   boost::system::error_code ignored;
@@ -77,10 +77,10 @@
 }
 
 net::awaitable<void> Resolver::watch() {
-  co_await wait(pacing_.first());
+  co_await wait(pacing_.initial_wait());
   while (!stopped_) {
     good_ = silent_ = false;
-    if (std::exchange(moved_, false)) intake_.moved();
+    if (std::exchange(moved_, false)) intake_.discovery_moved();
     const auto begun = net::Clock::now();
     ++counters_.resolver_calls;
     co_await follow();
@@ -88,16 +88,16 @@
     socket_.close(ignored);
     if (stopped_) co_return;
     if (moved_) {
-      co_await wait(pacing_.moved());
+      co_await wait(pacing_.wait_after_move());
       continue;
     }
     ++counters_.resolver_breaks;
     const bool good = good_ && net::Clock::now() - begun >= kLasts;
-    co_await wait(silent_ ? pacing_.after_silence(good) : pacing_.again(good));
+    co_await wait(silent_ ? pacing_.wait_after_silence(good) : pacing_.wait_after_watch(good));
   }
 }
 
-net::awaitable<void> Resolver::wait(Pacing::Time time) {
+net::awaitable<void> Resolver::wait(CallPacing::Time time) {
   timer_.expires_after(time);
   co_await timer_.async_wait(net::kResult);
 }
@@ -105,7 +105,7 @@
 net::awaitable<void> Resolver::follow() {
   // Silence ends the watch: a connection to a machine that has vanished stays open.
   bool headed = false;
-  const auto allow = [this, &headed](Pacing::Time silence) {
+  const auto allow = [this, &headed](CallPacing::Time silence) {
     timer_.expires_after(silence);
     timer_.async_wait([this, opened = headed](const boost::system::error_code& error) {
       if (error || timer_.expiry() > net::Clock::now()) return;
@@ -114,10 +114,10 @@
       socket_.close(ignored);
     });
   };
-  allow(pacing_.patience().head);
+  allow(pacing_.timeouts().response_head);
   const auto [refused] = co_await socket_.async_connect(net::endpoint<net::tcp>(discovery_), net::kResult);
   if (refused) co_return;
-  const auto request = "GET /registry/instances?watch=1&after=" + std::to_string(intake_.after()) +
+  const auto request = "GET /registry/instances?watch=1&after=" + std::to_string(intake_.resume_version()) +
                        " HTTP/1.1\r\nHost: " + discovery_.host + "\r\n\r\n";
   const auto [failed, written] =
       co_await net::asio::async_write(socket_, net::asio::buffer(request), net::kResult);
@@ -127,7 +127,7 @@
   bool done = false;
   while (!done) {
     if (co_await net::read_more(socket_, in, 16 * 1024) == 0) co_return;
-    if (headed) allow(pacing_.patience().silence);
+    if (headed) allow(pacing_.timeouts().silence);
     if (!headed) {
       http::Message head;
       const auto verdict = http::parse_head(in, http::Kind::response, head);
@@ -140,13 +140,14 @@
       }
       in.erase(0, head.size);
       headed = true;
-      allow(pacing_.patience().silence);
+      allow(pacing_.timeouts().silence);
     }
     if (!http::take_chunks(in, text, done, kMostLine) || in.size() > kMostLine) {
       ++counters_.resolver_bad;
       co_return;
     }
-    for (auto state = objects.take(text); state != ObjectReader::State::more; state = objects.take(text)) {
+    for (auto state = objects.consume(text); state != ObjectReader::State::incomplete;
+         state = objects.consume(text)) {
       // What follows one that is not taken builds on it.
       if (state == ObjectReader::State::damaged) {
         ++counters_.resolver_bad;
@@ -161,8 +162,8 @@
 bool Resolver::take(std::string_view text) {
   try {
     const auto result = config::parse_resolver_result(json::parse(text), "discovery");
-    const auto verdict = intake_.judge(result);
-    if (verdict != Intake::Verdict::taken) {
+    const auto verdict = intake_.evaluate(result);
+    if (verdict != ResultFilter::Verdict::accepted) {
       refuse(verdict, result);
       return false;
     }
@@ -178,12 +179,12 @@
   }
 }
 
-void Resolver::refuse(Intake::Verdict why, const config::ResolverResult& result) {
+void Resolver::refuse(ResultFilter::Verdict why, const config::ResolverResult& result) {
   switch (why) {
-    case Intake::Verdict::empty:
+    case ResultFilter::Verdict::empty:
       ++counters_.resolver_empty;
       break;
-    case Intake::Verdict::older:
+    case ResultFilter::Verdict::older:
       ++counters_.resolver_older;
       break;
     default:
--- a/src/resolver/resolver.h
+++ b/src/resolver/resolver.h
@@ -19,9 +19,9 @@
   using Listener = std::function<void(const config::ResolverResult&, cranemux::ListScope)>;
 
   Resolver(net::asio::io_context& io, const config::Address& discovery, Listener listener,
-           const Pacing& pacing, metrics::Logger& logger, metrics::Counters& counters);
+           const CallPacing& pacing, metrics::Logger& logger, metrics::Counters& counters);
   void start(const config::ResolverResult& known, bool watches);
-  void move(const config::Address& discovery);  // a new configuration: the watch goes there at once
+  void set_discovery(const config::Address& discovery);  // a new configuration: the watch goes there at once
   // The same as the module takes it.
   cranemux::ServerList server_list(const config::ResolverResult& result, cranemux::ListScope scope) const;
   void stop();
@@ -29,21 +29,21 @@
 
  private:
   net::awaitable<void> watch();
-  net::awaitable<void> wait(Pacing::Time time);
+  net::awaitable<void> wait(CallPacing::Time time);
   net::awaitable<void> follow();     // one watch, until it breaks
   bool take(std::string_view text);  // one result; false: the watch is of no more use
-  void refuse(Intake::Verdict why, const config::ResolverResult& result);
+  void refuse(ResultFilter::Verdict why, const config::ResolverResult& result);
 
   net::Scope scope_;
   net::tcp::socket socket_;
   net::asio::steady_timer timer_;
   config::Address discovery_;
   Listener listener_;
-  Pacing pacing_;
+  CallPacing pacing_;
   metrics::Logger& logger_;
   metrics::Counters& counters_;
   std::chrono::nanoseconds to_steady_{};  // steady clock less Unix time, fixed at the start
-  Intake intake_;
+  ResultFilter intake_;
   bool stopped_ = false;
   bool moved_ = false;   // discovery is elsewhere since the watch began
   bool good_ = false;    // this watch has brought something
--- a/src/tier/isolation.h
+++ b/src/tier/isolation.h
@@ -18,7 +18,7 @@
   explicit Isolation(Time now) : heard_(now), ticked_(now) {}
 
   // A question has left for a member, after the last tick.
-  void asked(int member) {
+  void record_request(int member) {
     if (questions_ == 0) {
       members_ = 0;
       asked_since_ = ticked_;
@@ -29,9 +29,9 @@
       asked_[static_cast<std::size_t>(members_++)] = member;
   }
   // Anything good from anyone.
-  void heard(Time now) {
+  void record_message(Time now) {
     if (silent(now)) silent_until_ = now;
-    if (cut_off(now)) evidence_from_ = now;
+    if (isolated(now)) evidence_from_ = now;
     heard_ = now;
     questions_ = 0;
   }
@@ -52,8 +52,8 @@
   Time silent_until() const { return silent_until_; }
   // Questions that left before this were asked while it was cut off or stalled: that nobody answered them
   // says nothing about who was asked.
-  Time evidence_from() const { return evidence_from_; }
-  bool cut_off(Time now) const {
+  Time evidence_valid_from() const { return evidence_from_; }
+  bool isolated(Time now) const {
     const auto silence = now - heard_;
     return silence > kSilence ||
            (silence > kLeastSilence && questions_ >= kQuestions && members_ >= kMembers);
--- a/src/tier/suspicion.h
+++ b/src/tier/suspicion.h
@@ -19,7 +19,7 @@
   // It was asked several times, and has not answered.
   void suspect(int member, Time now) { at(member) = now + kSuspected; }
   // Anything good from that member.
-  void heard(int member, Time now) {
+  void record_message(int member, Time now) {
     if (std::exchange(at(member), kNever) != kNever) recovered_[static_cast<std::size_t>(member)] = now;
   }
   bool suspected(int member, Time now) const { return now < until_[static_cast<std::size_t>(member)]; }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -33,9 +33,9 @@
     Settings settings;
     settings.members = static_cast<int>(members.size());
     settings.self = i;
-    settings.life = life;
+    settings.generation = life;
     settings.seed = random();
-    settings.terms = terms;
+    settings.detection = terms;
     members[static_cast<std::size_t>(i)] = std::make_unique<Membership>(settings, now);
   }
   void stop(int i) { members[static_cast<std::size_t>(i)].reset(); }
@@ -52,11 +52,11 @@
         if (!to) continue;
         auto bytes = m.bytes;
         if (draw() < damage) bytes[random() % bytes.size()] ^= static_cast<char>(1 + random() % 255);
-        to->told(m.from, bytes, now);
+        to->receive(m.from, bytes, now);
       }
       for (std::size_t i = 0; i < members.size(); ++i) {
         if (!members[i]) continue;
-        for (auto& out : members[i]->due(now)) {
+        for (auto& out : members[i]->take_due_messages(now)) {
           ++sent;
           EXPECT_LE(out.bytes.size(), 256U);
           if (draw() < loss || (cut && cut(static_cast<int>(i), out.to))) continue;
@@ -82,7 +82,7 @@
     return true;
   }
 
-  Terms terms;
+  DetectionSettings terms;
   double loss, damage = 0, repeats = 0;
   std::mt19937_64 random;
   std::vector<std::unique_ptr<Membership>> members;
@@ -104,14 +104,14 @@
   tier.run(2 * period);
   tier.stop(size - 1);
   const auto stopped = tier.now;
-  tier.run(std::chrono::hours(1), [&] { return tier.all_hold(size - 1, State::gone); });
+  tier.run(std::chrono::hours(1), [&] { return tier.all_hold(size - 1, State::failed); });
   const auto took = tier.now - stopped;
   const auto rounds = period * (4 + 2 * static_cast<int>(std::log2(size + 1)));
-  EXPECT_LE(took, longest_first_suspicion(tier.terms) + suspicion_time(tier.terms) + 2 * period + rounds);
+  EXPECT_LE(took, max_time_to_probe(tier.terms) + suspicion_timeout(tier.terms) + 2 * period + rounds);
   tier.start(size - 1);
   tier.run(std::chrono::hours(1), [&] { return tier.all_hold(size - 1, State::alive); });
   EXPECT_LE(tier.now - stopped - took, period * (4 * size + 20));
-  EXPECT_EQ(tier.at(0).member(size - 1).lives, 2U);
+  EXPECT_EQ(tier.at(0).member(size - 1).generations_seen, 2U);
 }
 INSTANTIATE_TEST_SUITE_P(sizes, membership_of, ::testing::Values(2, 3, 5, 16, 60));
 
@@ -126,7 +126,7 @@
   int knows = 0;
   tier.run(40 * period, [&] {
     knows = 0;
-    for (int i = 0; i < 500; ++i) knows += i != 7 && tier.at(i).member(7).state == State::gone;
+    for (int i = 0; i < 500; ++i) knows += i != 7 && tier.at(i).member(7).state == State::failed;
     return knows > 450;
   });
   EXPECT_GT(knows, 450);
@@ -145,13 +145,13 @@
     for (int i = 0; i < 8; ++i) {
       for (int j = 0; j < 8; ++j) {
         ++looks;
-        wrong += i != j && tier.at(i).member(j).state == State::gone;
+        wrong += i != j && tier.at(i).member(j).state == State::failed;
       }
     }
     return false;
   });
   std::uint64_t refuted = 0;
-  for (int i = 0; i < 8; ++i) refuted += tier.at(i).counts().refuted;
+  for (int i = 0; i < 8; ++i) refuted += tier.at(i).counts().refutations;
   EXPECT_GT(refuted, 0U);
   EXPECT_LT(static_cast<double>(wrong) / static_cast<double>(looks), 0.02);
 }
@@ -161,36 +161,37 @@
   tier.run(20s);
   ASSERT_TRUE(tier.whole());
   tier.run(40s);
-  EXPECT_EQ(tier.at(1).trouble(tier.now), Trouble::none);
+  EXPECT_EQ(tier.at(1).tier_condition(tier.now), TierCondition::healthy);
   tier.stop(4);
   tier.run(40s);
-  EXPECT_EQ(tier.at(1).trouble(tier.now), Trouble::few_gone);
+  EXPECT_EQ(tier.at(1).tier_condition(tier.now), TierCondition::some_failed);
   tier.start(4);
   tier.run(40s);
   tier.cut = [](int from, int to) { return from == 0 || to == 0; };
   tier.run(60s);
-  EXPECT_EQ(tier.at(0).trouble(tier.now), Trouble::cut_off);
-  EXPECT_EQ(tier.at(1).trouble(tier.now), Trouble::few_gone);
+  EXPECT_EQ(tier.at(0).tier_condition(tier.now), TierCondition::isolated);
+  EXPECT_EQ(tier.at(1).tier_condition(tier.now), TierCondition::some_failed);
   tier.cut = {};
   tier.run(60s);
   ASSERT_TRUE(tier.whole());
   tier.cut = [](int from, int to) { return (from < 2) != (to < 2); };
   tier.run(60s);
-  EXPECT_EQ(tier.at(0).trouble(tier.now), Trouble::split);
-  EXPECT_EQ(tier.at(4).trouble(tier.now), Trouble::split);
+  EXPECT_EQ(tier.at(0).tier_condition(tier.now), TierCondition::split);
+  EXPECT_EQ(tier.at(4).tier_condition(tier.now), TierCondition::split);
   tier.cut = {};
   tier.run(90s);
   EXPECT_TRUE(tier.whole());
-  EXPECT_EQ(tier.at(0).trouble(tier.now), Trouble::none);
+  EXPECT_EQ(tier.at(0).tier_condition(tier.now), TierCondition::healthy);
 }
 
 TEST(membership, tells_that_everyone_has_begun_again) {
   Tier tier(4);
   tier.run(40s);
-  EXPECT_EQ(tier.at(2).trouble(tier.now), Trouble::none);
+  EXPECT_EQ(tier.at(2).tier_condition(tier.now), TierCondition::healthy);
   for (int i = 0; i < 4; ++i) tier.start(i);
   tier.run(10s);
-  for (int i = 0; i < 4; ++i) EXPECT_EQ(tier.at(i).trouble(tier.now), Trouble::all_new) << i;
+  for (int i = 0; i < 4; ++i)
+    EXPECT_EQ(tier.at(i).tier_condition(tier.now), TierCondition::all_restarted) << i;
 }
 
 // Of one direct way that is closed helpers know better: nobody is held gone.
@@ -200,11 +201,11 @@
   tier.cut = [](int from, int to) { return from == 0 && to == 1; };
   std::size_t gone = 0;
   tier.run(120s, [&] {
-    gone += tier.at(0).member(1).state == State::gone || tier.at(1).member(0).state == State::gone;
+    gone += tier.at(0).member(1).state == State::failed || tier.at(1).member(0).state == State::failed;
     return false;
   });
   EXPECT_EQ(gone, 0U);
-  EXPECT_GT(tier.at(0).counts().asked_helpers, 0U);
+  EXPECT_GT(tier.at(0).counts().indirect_probes, 0U);
 }
 
 // A restarted member that draws its earlier number is a new life all the same.
@@ -213,10 +214,10 @@
   tier.run(20s);
   tier.start(2, 77);
   tier.run(20s);
-  const auto lives = tier.at(0).member(2).lives;
+  const auto lives = tier.at(0).member(2).generations_seen;
   tier.start(2, 77);
   tier.run(20s);
-  EXPECT_EQ(tier.at(0).member(2).lives, lives + 1);
+  EXPECT_EQ(tier.at(0).member(2).generations_seen, lives + 1);
   EXPECT_EQ(tier.at(0).member(2).state, State::alive);
 }
 
@@ -225,15 +226,15 @@
 TEST(membership, late_repeated_and_damaged_trailers) {
   Tier tier(3);
   tier.run(20s);
-  const auto old = tier.at(2).ride(256, tier.now);
+  const auto old = tier.at(2).piggyback(256, tier.now);
   tier.start(2, 9);
   tier.run(20s);
-  EXPECT_FALSE(tier.at(0).told(2, old, tier.now));
-  EXPECT_EQ(tier.at(0).counts().old_lives, 1U);
-  EXPECT_FALSE(tier.at(0).told(2, "", tier.now));
-  EXPECT_FALSE(tier.at(0).told(2, std::string(200, '\xff'), tier.now));
-  EXPECT_FALSE(tier.at(0).told(9, old, tier.now));
-  EXPECT_FALSE(tier.at(0).told(0, old, tier.now));
+  EXPECT_FALSE(tier.at(0).receive(2, old, tier.now));
+  EXPECT_EQ(tier.at(0).counts().stale_generations, 1U);
+  EXPECT_FALSE(tier.at(0).receive(2, "", tier.now));
+  EXPECT_FALSE(tier.at(0).receive(2, std::string(200, '\xff'), tier.now));
+  EXPECT_FALSE(tier.at(0).receive(9, old, tier.now));
+  EXPECT_FALSE(tier.at(0).receive(0, old, tier.now));
   tier.damage = 0.2;
   tier.repeats = 0.3;
   tier.run(120s);
@@ -255,23 +256,23 @@
                                     }(),
                                     0s);
   for (Time now = 0s; now < 60s; now += 100ms) {
-    EXPECT_TRUE(one.due(now).empty());
-    if (now < 30s) one.told(1, two.ride(64, now), now);
+    EXPECT_TRUE(one.take_due_messages(now).empty());
+    if (now < 30s) one.receive(1, two.piggyback(64, now), now);
   }
   EXPECT_EQ(one.member(1).state, State::alive);
-  EXPECT_TRUE(two.ride(3, 60s).empty());
+  EXPECT_TRUE(two.piggyback(3, 60s).empty());
 }
 
 TEST(membership, formulas) {
-  Terms t{3, 10, 0, 3, 3};
-  EXPECT_DOUBLE_EQ(messages_a_period(t), 2);
-  EXPECT_EQ(period_of(t), 200ms);
-  EXPECT_DOUBLE_EQ(false_suspicion(t), 0);
+  DetectionSettings t{3, 10, 0, 3, 3};
+  EXPECT_DOUBLE_EQ(messages_per_period(t), 2);
+  EXPECT_EQ(protocol_period(t), 200ms);
+  EXPECT_DOUBLE_EQ(false_suspicion_probability(t), 0);
   t.loss = 0.3;
-  EXPECT_NEAR(false_suspicion(t), 0.51 * (1 - 0.2401), 1e-9);  // one helper only
+  EXPECT_NEAR(false_suspicion_probability(t), 0.51 * (1 - 0.2401), 1e-9);  // one helper only
   t.members = 100;
-  EXPECT_NEAR(false_suspicion(t), 0.51 * std::pow(1 - 0.2401, 3), 1e-9);
-  EXPECT_EQ(tellings(1023), 30);
+  EXPECT_NEAR(false_suspicion_probability(t), 0.51 * std::pow(1 - 0.2401, 3), 1e-9);
+  EXPECT_EQ(transmissions(1023), 30);
 }
 
 }  // namespace
--- a/tests/object_reader_test.cpp
+++ b/tests/object_reader_test.cpp
@@ -25,7 +25,7 @@
   std::string in;
   for (std::size_t at = 0; at < text.size(); at += piece) {
     in += text.substr(at, piece);
-    for (auto state = reader.take(in); state != State::more; state = reader.take(in)) {
+    for (auto state = reader.consume(in); state != State::incomplete; state = reader.consume(in)) {
       if (state == State::damaged) {
         out.emplace_back("damaged");
         return out;
@@ -65,7 +65,7 @@
 TEST(ObjectReader, NoObjectGrowsPastItsBound) {
   ObjectReader reader(10);
   std::string in = "{\"a\":\"" + std::string(100, 'x');
-  EXPECT_EQ(reader.take(in), State::damaged);
+  EXPECT_EQ(reader.consume(in), State::damaged);
   EXPECT_LE(reader.object().size(), 11U);
 }
 
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -202,15 +202,15 @@
   EXPECT_FALSE(without(given_up, [](auto& s) { s.attempt_out = true; }));  // never two at once
 }
 
-using peers::Mailbag;
-const Mailbag::Time kStart{std::chrono::hours(1)};
+using peers::DatagramBatcher;
+const DatagramBatcher::Time kStart{std::chrono::hours(1)};
 
-TEST(Mailbag, PacksMessagesOfSeveralLedgersForOnePeer) {
-  Mailbag bag(10);
-  for (int i = 0; i < 3; ++i) bag.put(peers::tag_of("quote"), 1, "q" + std::to_string(i));
-  bag.put(peers::tag_of("book"), 1, "b");
-  bag.put(peers::tag_of("book"), 2, "other");
-  const auto first = bag.next(kStart);
+TEST(DatagramBatcher, PacksMessagesOfSeveralLedgersForOnePeer) {
+  DatagramBatcher batcher(10);
+  for (int i = 0; i < 3; ++i) batcher.enqueue(peers::tag_of("quote"), 1, "q" + std::to_string(i));
+  batcher.enqueue(peers::tag_of("book"), 1, "b");
+  batcher.enqueue(peers::tag_of("book"), 2, "other");
+  const auto first = batcher.next(kStart);
   ASSERT_TRUE(first.has_value());
   EXPECT_EQ(first->to, 1);
   std::vector<std::string> got;
@@ -218,22 +218,22 @@
     got.push_back((tag == peers::tag_of("book") ? "book:" : "quote:") + std::string(bytes));
   }));
   EXPECT_EQ(got, (std::vector<std::string>{"quote:q0", "quote:q1", "quote:q2", "book:b"}));
-  EXPECT_FALSE(bag.next(kStart).has_value());  // the budget of datagrams is used up
-  EXPECT_LE(*bag.due(), kStart + milliseconds(101));
-  EXPECT_EQ(bag.next(kStart + milliseconds(101))->to, 2);
-  EXPECT_EQ(bag.waiting(), 0U);
-  EXPECT_FALSE(bag.due().has_value());
+  EXPECT_FALSE(batcher.next(kStart).has_value());  // the budget of datagrams is used up
+  EXPECT_LE(*batcher.next_due_at(), kStart + milliseconds(101));
+  EXPECT_EQ(batcher.next(kStart + milliseconds(101))->to, 2);
+  EXPECT_EQ(batcher.waiting(), 0U);
+  EXPECT_FALSE(batcher.next_due_at().has_value());
 }
 
-TEST(Mailbag, AFloodOfOneLedgerDelaysAnotherByOneTurn) {
-  Mailbag bag(100);
+TEST(DatagramBatcher, AFloodOfOneLedgerDelaysAnotherByOneTurn) {
+  DatagramBatcher batcher(100);
   const auto loud = peers::tag_of("loud"), quiet = peers::tag_of("quiet");
-  for (int i = 0; i < 500; ++i) bag.put(loud, i % 3, std::string(250, 'x'));
-  bag.put(quiet, 7, "me too");
+  for (int i = 0; i < 500; ++i) batcher.enqueue(loud, i % 3, std::string(250, 'x'));
+  batcher.enqueue(quiet, 7, "me too");
   auto now = kStart;
   int until_quiet = 0;
   for (bool seen = false; !seen; now += milliseconds(10)) {
-    const auto datagram = bag.next(now);
+    const auto datagram = batcher.next(now);
     if (!datagram) continue;
     EXPECT_LE(datagram->bytes.size(), 256U);
     ++until_quiet;
@@ -242,27 +242,29 @@
   EXPECT_LE(until_quiet, 2);
 }
 
-TEST(Mailbag, IsBoundedAndTheFullestLedgerLoses) {
-  Mailbag bag(1);
+TEST(DatagramBatcher, IsBoundedAndTheFullestLedgerLoses) {
+  DatagramBatcher batcher(1);
   const auto loud = peers::tag_of("loud"), quiet = peers::tag_of("quiet");
-  EXPECT_TRUE(bag.put(quiet, 0, "kept"));
+  EXPECT_TRUE(batcher.enqueue(quiet, 0, "kept"));
   std::size_t dropped = 0;
-  for (std::size_t i = 0; i < peers::kMostWaiting + 50; ++i) dropped += bag.put(loud, 1, "x") ? 0 : 1;
-  EXPECT_EQ(bag.waiting(), peers::kMostWaiting);
+  for (std::size_t i = 0; i < peers::kMaxQueuedMessages + 50; ++i)
+    dropped += batcher.enqueue(loud, 1, "x") ? 0 : 1;
+  EXPECT_EQ(batcher.waiting(), peers::kMaxQueuedMessages);
   EXPECT_EQ(dropped, 51U);
-  EXPECT_FALSE(bag.put(loud, 1, std::string(251, 'x')));  // would not fit a datagram
+  EXPECT_FALSE(batcher.enqueue(loud, 1, std::string(251, 'x')));  // would not fit a datagram
   bool kept = false;
-  for (auto now = kStart; bag.waiting() > 0; now += std::chrono::seconds(1)) {
-    if (const auto datagram = bag.next(now)) kept = kept || datagram->bytes.find("kept") != std::string::npos;
+  for (auto now = kStart; batcher.waiting() > 0; now += std::chrono::seconds(1)) {
+    if (const auto datagram = batcher.next(now))
+      kept = kept || datagram->bytes.find("kept") != std::string::npos;
   }
   EXPECT_TRUE(kept);
 }
 
-TEST(Mailbag, DamagedDatagramsCallNobody) {
-  Mailbag bag(1);
-  bag.put(1, 0, "first");
-  bag.put(2, 0, "second");
-  const auto whole = bag.next(kStart)->bytes;
+TEST(DatagramBatcher, DamagedDatagramsCallNobody) {
+  DatagramBatcher batcher(1);
+  batcher.enqueue(1, 0, "first");
+  batcher.enqueue(2, 0, "second");
+  const auto whole = batcher.next(kStart)->bytes;
   int called = 0;
   const auto count = [&](peers::Tag, std::string_view) { ++called; };
   for (std::size_t cut = 0; cut < whole.size(); ++cut) {
--- a/tests/resolver_test.cpp
+++ b/tests/resolver_test.cpp
@@ -15,7 +15,7 @@
 using testing::Discovery;
 using testing::list_line;
 using testing::milliseconds;
-using Verdict = Intake::Verdict;
+using Verdict = ResultFilter::Verdict;
 
 config::ResolverResult result(std::int64_t index, bool whole, std::size_t nodes) {
   config::ResolverResult out{index, whole, {}};
@@ -28,54 +28,55 @@
   return out;
 }
 
-TEST(Intake, NeitherAnEmptyListNorAnOlderOneIsTaken) {
-  Intake intake;
-  intake.begin(result(41, true, 3));
-  EXPECT_EQ(intake.after(), 41);
-  EXPECT_EQ(intake.judge(result(50, true, 0)), Verdict::empty);
-  EXPECT_EQ(intake.after(), 0);  // the whole list is asked for
-  EXPECT_EQ(intake.judge(result(40, true, 3)), Verdict::older);
-  EXPECT_EQ(intake.judge(result(12, false, 1)), Verdict::older);
-  EXPECT_EQ(intake.judge(result(42, true, 2)), Verdict::taken);
-  EXPECT_EQ(intake.after(), 42);
-  EXPECT_EQ(intake.judge(result(42, false, 0)), Verdict::taken);  // nothing has changed
+TEST(ResultFilter, NeitherAnEmptyListNorAnOlderOneIsTaken) {
+  ResultFilter filter;
+  filter.start(result(41, true, 3));
+  EXPECT_EQ(filter.resume_version(), 41);
+  EXPECT_EQ(filter.evaluate(result(50, true, 0)), Verdict::empty);
+  EXPECT_EQ(filter.resume_version(), 0);  // the whole list is asked for
+  EXPECT_EQ(filter.evaluate(result(40, true, 3)), Verdict::older);
+  EXPECT_EQ(filter.evaluate(result(12, false, 1)), Verdict::older);
+  EXPECT_EQ(filter.evaluate(result(42, true, 2)), Verdict::accepted);
+  EXPECT_EQ(filter.resume_version(), 42);
+  EXPECT_EQ(filter.evaluate(result(42, false, 0)), Verdict::accepted);  // nothing has changed
 }
 
-TEST(Intake, AnEmptyListIsTakenWhereNothingWasKnown) {
-  Intake intake;
-  intake.begin(result(0, true, 0));
-  EXPECT_EQ(intake.judge(result(7, true, 0)), Verdict::taken);
+TEST(ResultFilter, AnEmptyListIsTakenWhereNothingWasKnown) {
+  ResultFilter filter;
+  filter.start(result(0, true, 0));
+  EXPECT_EQ(filter.evaluate(result(7, true, 0)), Verdict::accepted);
 }
 
-TEST(Intake, ADiscoveryThatCountsFromNewIsBelievedInTheEnd) {
-  Intake intake;
-  intake.begin(result(900, true, 3));
-  for (int i = 1; i < Intake::kRenumbered; ++i) EXPECT_EQ(intake.judge(result(2, true, 3)), Verdict::older);
-  EXPECT_EQ(intake.judge(result(3, true, 3)), Verdict::taken);
-  EXPECT_EQ(intake.judge(result(4, false, 1)), Verdict::taken);
-  intake.begin(result(900, true, 3));
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(intake.judge(result(5, false, 1)), Verdict::older);
+TEST(ResultFilter, ADiscoveryThatCountsFromNewIsBelievedInTheEnd) {
+  ResultFilter filter;
+  filter.start(result(900, true, 3));
+  for (int i = 1; i < ResultFilter::kOlderBeforeRenumbered; ++i)
+    EXPECT_EQ(filter.evaluate(result(2, true, 3)), Verdict::older);
+  EXPECT_EQ(filter.evaluate(result(3, true, 3)), Verdict::accepted);
+  EXPECT_EQ(filter.evaluate(result(4, false, 1)), Verdict::accepted);
+  filter.start(result(900, true, 3));
+  for (int i = 0; i < 10; ++i) EXPECT_EQ(filter.evaluate(result(5, false, 1)), Verdict::older);
 }
 
-TEST(Intake, AnotherDiscoveryHasVersionsOfItsOwn) {
-  Intake intake;
-  intake.begin(result(900, true, 3));
-  intake.moved();
-  EXPECT_EQ(intake.after(), 0);
-  EXPECT_EQ(intake.judge(result(2, true, 0)), Verdict::empty);
-  EXPECT_EQ(intake.judge(result(2, true, 1)), Verdict::taken);
+TEST(ResultFilter, AnotherDiscoveryHasVersionsOfItsOwn) {
+  ResultFilter filter;
+  filter.start(result(900, true, 3));
+  filter.discovery_moved();
+  EXPECT_EQ(filter.resume_version(), 0);
+  EXPECT_EQ(filter.evaluate(result(2, true, 0)), Verdict::empty);
+  EXPECT_EQ(filter.evaluate(result(2, true, 1)), Verdict::accepted);
 }
 
-TEST(Intake, AListLargerThanAnyFleetIsNotTaken) {
-  Intake intake;
-  intake.begin(result(1, true, 3));
-  EXPECT_EQ(intake.judge(result(2, true, Intake::kMostNodes + 1)), Verdict::crowded);
-  EXPECT_EQ(intake.judge(result(3, true, Intake::kMostNodes)), Verdict::taken);
+TEST(ResultFilter, AListLargerThanAnyFleetIsNotTaken) {
+  ResultFilter filter;
+  filter.start(result(1, true, 3));
+  EXPECT_EQ(filter.evaluate(result(2, true, ResultFilter::kMaxNodes + 1)), Verdict::too_large);
+  EXPECT_EQ(filter.evaluate(result(3, true, ResultFilter::kMaxNodes)), Verdict::accepted);
 }
 
 // A resolver with the list that it has told, as a pool holds it.
 struct Watched {
-  explicit Watched(const Pacing& pacing = Pacing(1, 5))
+  explicit Watched(const CallPacing& pacing = CallPacing(1, 5))
       : resolver(
             stage.io(), {"127.0.0.1", static_cast<std::uint16_t>(discovery.port())},
             [this](const config::ResolverResult& told, ListScope scope) {
@@ -125,7 +126,8 @@
       kHead + Discovery::chunk(R"({"index":50,"snapshot":true,"endpoints":[{"name":"a",)"
                                R"("address":"127.0.0.1:7","status":"active","group":-1e300}]})"
                                "\n"),
-      kHead + Discovery::chunk(list_line(50, true, std::vector<std::string>(Intake::kMostNodes + 1, "many"))),
+      kHead + Discovery::chunk(
+                  list_line(50, true, std::vector<std::string>(ResultFilter::kMaxNodes + 1, "many"))),
       kHead + "ffffffff\r\n" + std::string(5 * 1024 * 1024, 'x'),
   };
   for (const auto& damage : damages) {
@@ -177,7 +179,7 @@
 }
 
 // Small, so that silence comes soon; the program's own are tested in pacing_test.cpp.
-Pacing impatient() { return Pacing(1, 5, milliseconds(50), {milliseconds(40), milliseconds(40)}); }
+CallPacing impatient() { return CallPacing(1, 5, milliseconds(50), {milliseconds(40), milliseconds(40)}); }
 
 // A call that is never answered, half a head, a watch that falls silent after its list, or within one: each
 // is begun anew, again and again, and what discovery has by then is heard.
@@ -229,10 +231,10 @@
 TEST(Resolver, AListOfTheLargestFleetComesInOneChunk) {
   Watched watched;
   std::vector<std::string> names;
-  for (std::size_t i = 0; i < Intake::kMostNodes; ++i) names.push_back("node-" + std::to_string(i));
+  for (std::size_t i = 0; i < ResultFilter::kMaxNodes; ++i) names.push_back("node-" + std::to_string(i));
   watched.discovery.answer(list_line(60, true, names), Discovery::Then::stay);
   watched.start();
-  ASSERT_TRUE(watched.stage.play_until([&] { return watched.list.usable() == Intake::kMostNodes; }));
+  ASSERT_TRUE(watched.stage.play_until([&] { return watched.list.usable() == ResultFilter::kMaxNodes; }));
 }
 
 // A machine that has vanished leaves its connection open: a watch without the empty lines is left.
@@ -247,7 +249,7 @@
 
 TEST(Resolver, NobodyThereCostsNothingButCalls) {
   Watched watched;
-  watched.resolver.move({"127.0.0.1", 1});
+  watched.resolver.set_discovery({"127.0.0.1", 1});
   watched.start();
   ASSERT_TRUE(watched.stage.play_until([&] { return watched.counters.resolver_breaks >= 4; }));
   EXPECT_EQ(watched.list.usable(), 3U);
