--- a/src/ledger/incremental_erase.h
+++ b/src/ledger/incremental_erase.h
@@ -1,5 +1,5 @@
-// Takes out of a map what is gone, a part of the map at each call, so that no call is long however large the
-// map is: all of a small one, of a large one a twentieth, from where the last call ended. Free of I/O.
+// Erases finished items of a map in steps, so that no call takes long however large the map is: a call covers
+// all of a small map, and a twentieth of a large one, from where the last call ended. Free of I/O.
 #pragma once
 
 #include <algorithm>
@@ -8,19 +8,20 @@
 
 namespace cranemux::ledger {
 
-constexpr std::size_t kSweepWhole = 64;  // items: up to so many are looked at in one call
-constexpr std::size_t kSweepCalls = 20;  // a larger map is gone through in so many, in more where much goes
+constexpr std::size_t kSmallMapItems = 64;  // a map of up to so many items is covered by each call
+constexpr std::size_t kCallsPerPass = 20;   // over a larger map; more if many items are erased
 
-// `from`: where the next call goes on; the caller keeps it. `gone(item)` may change the item's value.
-template <typename Map, typename Gone>
-void erase_some(Map& map, typename Map::key_type& from, const Gone& gone) {
-  auto left = std::min(map.size(), std::max(kSweepWhole, map.size() / kSweepCalls + 1));
-  auto at = map.size() <= kSweepWhole ? map.begin() : map.lower_bound(from);
+// Erases items for which `finished(item)` holds; it may change the item's value. `cursor`: kept by the
+// caller, the key from which the next call continues.
+template <typename Map, typename Finished>
+void erase_some(Map& map, typename Map::key_type& cursor, const Finished& finished) {
+  auto left = std::min(map.size(), std::max(kSmallMapItems, map.size() / kCallsPerPass + 1));
+  auto at = map.size() <= kSmallMapItems ? map.begin() : map.lower_bound(cursor);
   for (; left > 0 && !map.empty(); --left) {
     if (at == map.end()) at = map.begin();
-    at = gone(*at) ? map.erase(at) : std::next(at);
+    at = finished(*at) ? map.erase(at) : std::next(at);
   }
-  from = at == map.end() ? typename Map::key_type{} : at->first;
+  cursor = at == map.end() ? typename Map::key_type{} : at->first;
 }
 
 }  // namespace cranemux::ledger
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -1,9 +1,9 @@
-// What is left of a customer's quota, at its keeper: a store that fills at the plan's rate, and what each
-// gatekeeper of the tier has told and may use, by its life. Figures are totals of a life, so whatever is
-// lost, repeated or late counts once. Free of I/O; units are the plan's.
+// The ledger of one customer's quota at its leader: a token bucket that fills at the plan's rate, and one
+// claim for each gatekeeper that has reported use. Reports carry totals of a gatekeeper's generation, so a
+// message that is lost, repeated or late is counted once. Units are the plan's. Free of I/O.
 //
-// Two ways. Trusting, as on the platform: what was used beyond a grant is forgiven past `debt`, since what
-// goes beyond a quota takes nothing from the store there. Guarded: asks count in their order only, and all is
+// Trusting quotas: use beyond a grant is forgiven past `debt`, since units beyond a quota take nothing from
+// the bucket there. Guarded quotas: requests of a gatekeeper count in their order only, and all overuse is
 // paid back.
 #pragma once
 
@@ -24,106 +24,113 @@
 
 namespace cranemux::ledger {
 
+// Returns the units that flow at `rate` (units a second) during `span`.
 inline double units_in(double rate, Time span) { return rate * static_cast<double>(span.count()) / 1e9; }
 
+// What one gatekeeper reports about a customer, and what it requests.
 struct Demand {
-  std::uint32_t generation = 0;  // of the gatekeeper that asks
-  std::uint32_t number = 0;      // of its asks about this customer, counted up; 0 where they are not ordered
-  std::int64_t used = 0;         // in that life
-  double weight = 0;             // of what it holds
-  std::int64_t wanted = 0;       // by what it holds
-  std::uint32_t leader_epoch =
-      0;                       // of the gatekeeper's changes of keeper in that life; 0 where it has one only
-  std::int64_t overspent = 0;  // of `used`: beyond what its last keeper had granted
-  Time hold{0};                // what it holds without a credit is refused after so long
-  bool report = false;         // nobody waits for an answer
-  int share = kWholeShare;     // of reports: that who sends it goes by, by a word of a keeper
-  double units_shed = 0;       // units, since the last report, by that word
+  std::uint32_t generation = 0;    // of the gatekeeper
+  std::uint32_t number = 0;        // counts its requests about this customer; 0 where they are not ordered
+  std::int64_t used = 0;           // units in this generation
+  double weight = 0;               // of its held requests
+  std::int64_t wanted = 0;         // units for its held requests
+  std::uint32_t leader_epoch = 0;  // counts its changes of leader; 0 where a customer has one leader only
+  std::int64_t overspent = 0;      // of `used`: units beyond the grants of its last leader
+  Time hold{0};                    // after this time without a lease it refuses its held requests
+  bool report = false;             // no answer is expected
+  int share = kWholeShare;  // in a report: hundredths of requests that it admits, by its last ShedNotice
+  double units_shed = 0;    // in a report: units that it refused by that share since the report before
 };
 
-struct Claim {  // what a keeper knows of one gatekeeper's part in a ledger
-  std::uint32_t generation = 0, number = 0, leader_epoch = 0;
-  std::int64_t limit = 0;  // units that it may have used in all that life, or attempts out at once
-  std::int64_t used = 0;   // as last told
+// What a leader knows of one gatekeeper's use.
+struct Claim {
+  std::uint32_t generation = 0, number = 0, leader_epoch = 0;  // of the last demand that was merged
+  std::int64_t limit = 0;  // units that it may use in its whole generation, or attempts that it may have open
+  std::int64_t used = 0;   // as last reported
   double weight = 0, wanted = 0;
   Time updated_at{0}, held_until{0};
+  // Returns the wanted units that its limit does not cover.
   double shortfall() const { return wanted - static_cast<double>(limit - used); }
 };
 
-constexpr Time kAdopts =
-    std::chrono::seconds(3);  // so long all who keep to a share may take to turn to a new keeper
+// By this time every gatekeeper that sheds load by a share has turned to a new leader.
+constexpr Time kShareAdoptionTime = std::chrono::seconds(3);
 
+// A customer's quota record at its leader.
 struct Ledger {
-  std::uint32_t customer = 0, plan = 0;  // the plan's number in the settings
-  double rate = 0, burst = 0;            // of the plan, or of one of equal parts of it
-  double debt = 0;                       // how far below nothing the level may go; 0 or less
-  double tokens = 0;                     // less what is granted
+  std::uint32_t customer = 0, plan = 0;  // the plan's index in the settings
+  double rate = 0, burst = 0;            // of the plan, or of one shard of it; units a second, and units
+  double debt = 0;                       // the lowest value of `tokens`; 0 or negative
+  double tokens = 0;                     // units left; what is granted has been taken off
   std::uint32_t shards = 1;
-  bool sheds_load = false;  // its keeper is set aside and tells all who is throttled
+  bool sheds_load = false;  // its leader is a dedicated one and sends ShedNotices
   RequestPacing pacing = {};
-  LowWatermark low_watermark = {};  // where no members are set aside; there:
-  LoadShedder load_shedder = {};
+  LowWatermark low_watermark = {};  // without dedicated leaders
+  LoadShedder load_shedder = {};    // with dedicated leaders
   Time refilled_at{0}, opened_at{0}, requested_at{0};
   std::map<int, Claim> claims = {};      // by gatekeeper
-  std::set<int> gatekeepers_short = {};  // of them: those that may wait for more than they have
-  std::set<std::tuple<int, std::uint32_t, std::uint64_t>> hands =
-      {};  // taken over: from whom, its epoch, the number
+  std::set<int> gatekeepers_short = {};  // with a shortfall; may hold some whose requests have expired
+  // Transfers that were applied: sender, its generations seen here, number.
+  std::set<std::tuple<int, std::uint32_t, std::uint64_t>> applied_transfers = {};
 
-  // `part`: of the store, where the rest is others' to give.
-  void fill(Time now, double part = 1) {
-    if (tokens < burst * part)
-      tokens = std::min(burst * part, tokens + units_in(rate * part, now - refilled_at));
+  // Refills the bucket up to `now`. `share`: of rate and burst, where others may give out the rest.
+  void fill(Time now, double share = 1) {
+    if (tokens < burst * share)
+      tokens = std::min(burst * share, tokens + units_in(rate * share, now - refilled_at));
     else
-      tokens = std::min(tokens, burst * part);
+      tokens = std::min(tokens, burst * share);
     refilled_at = now;
   }
+  // Returns whether gatekeepers may not spend under an optimistic lease.
   bool below_low_watermark(Time now) const { return low_watermark.below(now) || load_shedder.active(); }
   void take(double units) { tokens = std::clamp(tokens - units, debt, burst); }
 
-  // Has it heard all that this gatekeeper has asked about the customer? Not so where the gatekeeper is new,
-  // or has turned to another keeper or spent its even share meanwhile. A new life of it knows no more than
-  // this ledger does.
-  bool has_current_claim(int from, const Demand& ask) const {
+  // Returns whether the ledger has all that this gatekeeper has reported about the customer. It has not if
+  // the gatekeeper is new, or has meanwhile changed its leader or spent its even share. A new generation of a
+  // known gatekeeper knows no more than the ledger does.
+  bool has_current_claim(int from, const Demand& demand) const {
     const auto at = claims.find(from);
     return at != claims.end() &&
-           (at->second.generation != ask.generation || at->second.leader_epoch >= ask.leader_epoch);
+           (at->second.generation != demand.generation || at->second.leader_epoch >= demand.leader_epoch);
   }
-  // What an ask changes: what was used beyond its limit is taken, what is no longer wanted comes back. False:
-  // it was overtaken by a later one of the same life, and changes nothing.
-  bool merge(int from, const Demand& ask, Time now) {
+  // Applies a demand: takes what was used beyond the limit, gives back what is no longer wanted. Returns
+  // false, and changes nothing, if a later demand of the same generation has been merged.
+  bool merge(int from, const Demand& demand, Time now) {
     auto [at, first] = claims.try_emplace(from);
     auto& claim = at->second;
-    const bool lives = !first && claim.generation == ask.generation;
-    if (lives && ask.leader_epoch < claim.leader_epoch) return false;
-    const bool known = lives && ask.leader_epoch == claim.leader_epoch;
-    if (known && ask.number != 0 && static_cast<std::int32_t>(ask.number - claim.number) < 0) return false;
-    const auto more = known ? ask.used - claim.used : ask.overspent;
-    if (sheds_load && now - opened_at < kAdopts) load_shedder.adopt(ask.share, now);
+    const bool same_generation = !first && claim.generation == demand.generation;
+    if (same_generation && demand.leader_epoch < claim.leader_epoch) return false;
+    const bool known = same_generation && demand.leader_epoch == claim.leader_epoch;
+    if (known && demand.number != 0 && static_cast<std::int32_t>(demand.number - claim.number) < 0)
+      return false;
+    const auto newly_used = known ? demand.used - claim.used : demand.overspent;
+    if (sheds_load && now - opened_at < kShareAdoptionTime) load_shedder.adopt(demand.share, now);
     if (sheds_load)
-      load_shedder.record_demand(ask.units_shed + static_cast<double>(std::max<std::int64_t>(0, more)), now);
-    // What an earlier life may still have used stays taken: nobody can say that it has not.
-    if (!known) claim.limit = ask.used - ask.overspent;
-    // Nor can what a grant that has lapsed left unused be used any more. It is not given back: the store has
-    // filled beside it.
-    const bool lapsed = known && ask.number != 0 && now - claim.updated_at > kGuardedLeaseTime;
-    if (lapsed) claim.limit = std::min(claim.limit, ask.used);
-    const auto limit = std::max(ask.used, std::min(claim.limit, ask.used + ask.wanted));
+      load_shedder.record_demand(
+          demand.units_shed + static_cast<double>(std::max<std::int64_t>(0, newly_used)), now);
+    // Grants to an earlier generation stay taken: it may have used them.
+    if (!known) claim.limit = demand.used - demand.overspent;
+    // The unused rest of an expired grant cannot be used any more. It is not given back: the bucket has
+    // refilled meanwhile.
+    const bool expired = known && demand.number != 0 && now - claim.updated_at > kGuardedLeaseTime;
+    if (expired) claim.limit = std::min(claim.limit, demand.used);
+    const auto limit = std::max(demand.used, std::min(claim.limit, demand.used + demand.wanted));
     take(static_cast<double>(limit - claim.limit));
-    claim = {ask.generation,
-             ask.number,
-             ask.leader_epoch,
+    claim = {demand.generation,
+             demand.number,
+             demand.leader_epoch,
              limit,
-             ask.used,
-             ask.weight,
-             static_cast<double>(ask.wanted),
+             demand.used,
+             demand.weight,
+             static_cast<double>(demand.wanted),
              now,
-             now + ask.hold};
+             now + demand.hold};
     update_shortfall(from);
     return true;
   }
-  // Its customer names another plan. Nothing is won by it: what is left stays, up to the new store; none
-  // where one of both bounds attempts, which are no units.
-  void go_by(const Ledger& other, Time now) {
+  // Switches to the plan of `other`. Nothing is gained by it: the tokens left stay, up to the new burst; none
+  // stay if one of the two plans limits open attempts, which are not units.
+  void change_plan(const Ledger& other, Time now) {
     fill(now);
     const bool units = rate > 0 && other.rate > 0;
     plan = other.plan;
@@ -138,16 +145,16 @@
     claims.clear();
     gatekeepers_short.clear();
   }
-  // Units that are granted and may still be spent, as far as was told: a grant ends with the ask that it
-  // answers.
-  double granted(Time now) const {
+  // Returns the units that are granted and may still be spent, by the last reports. A grant expires
+  // kGuardedLeaseTime after the request that it answers.
+  double outstanding_units(Time now) const {
     std::int64_t out = 0;
     for (const auto& [gatekeeper, claim] : claims) {
       if (now - claim.updated_at <= kGuardedLeaseTime) out += claim.limit - claim.used;
     }
     return static_cast<double>(out);
   }
-  // Whether that gatekeeper lacks something has changed, or may have.
+  // Updates `gatekeepers_short` after a change of that gatekeeper's claim.
   void update_shortfall(int gatekeeper) {
     const auto at = claims.find(gatekeeper);
     if (at != claims.end() && at->second.shortfall() > 0)
@@ -157,215 +164,223 @@
   }
 };
 
-// The asking side of a guarded quota: what this gatekeeper may use, by grants that may be lost, late or
-// repeated. Between an ask and its answer it uses no more than the keeper will let stand, whatever it is
-// granted meanwhile; and no grant outlives the ask that it answers by more than `life`, so a stalled
-// gatekeeper returns with none.
+// The lease that a gatekeeper holds on a guarded quota; grants may be lost, late or repeated. Between a
+// request and its answer it covers no more than the leader keeps granted when it merges the request, whatever
+// other grants arrive. A grant expires `lease_time` after its request was sent, so a gatekeeper that has
+// stalled resumes without one.
 class HeldLease {
  public:
-  explicit HeldLease(Time life) : life_(life) {}
+  explicit HeldLease(Time lease_time) : lease_time_(lease_time) {}
 
-  // An ask leaves: returns its number.
+  // Records that a request is sent now. Returns its number.
   std::uint32_t request(std::int64_t used, std::int64_t wanted, Time now) {
-    if (now >= until_) limit_ = used;  // lapsed: the keeper counts it no more
+    if (now >= expires_at_) limit_ = used;  // the leader drops an expired grant, too
     ++number_;
-    sent_[number_ % kKept] = now;
-    stands_ = used + wanted;
-    limit_ = std::max(used, std::min(limit_, stands_));
+    sent_at_[number_ % kTrackedRequests] = now;
+    requested_limit_ = used + wanted;
+    limit_ = std::max(used, std::min(limit_, requested_limit_));
     return number_;
   }
-  // `number`: of the ask that the keeper has seen last. False: nothing could be made of it.
+  // `number`: of the last request that the leader has merged. Returns false if the grant has expired or
+  // answers no request that is still tracked.
   bool apply_grant(std::uint32_t number, std::int64_t limit, Time now) {
     const auto behind = number_ - number;
-    if (behind >= kKept) return false;
-    const auto until = sent_[number % kKept] + life_;
-    if (until <= now) return false;
-    limit_ = std::max(limit_, behind == 0 ? limit : std::min(limit, stands_));
-    until_ = std::max(until_, until);
+    if (behind >= kTrackedRequests) return false;
+    const auto expires_at = sent_at_[number % kTrackedRequests] + lease_time_;
+    if (expires_at <= now) return false;
+    limit_ = std::max(limit_, behind == 0 ? limit : std::min(limit, requested_limit_));
+    expires_at_ = std::max(expires_at_, expires_at);
     return true;
   }
   bool covers(std::int64_t used, std::int64_t units, Time now) const {
-    return now < until_ && used + units <= limit_;
+    return now < expires_at_ && used + units <= limit_;
   }
-  std::int64_t limit() const { return limit_; }
-  std::uint32_t number() const { return number_; }
+  std::int64_t limit() const { return limit_; }     // units that may be used in the whole generation
+  std::uint32_t number() const { return number_; }  // of the last request
 
  private:
-  static constexpr std::uint32_t kKept = 16;
-  Time life_, until_{-1};
-  Time sent_[kKept] = {};
+  static constexpr std::uint32_t kTrackedRequests = 16;
+  Time lease_time_, expires_at_{-1};
+  Time sent_at_[kTrackedRequests] = {};
   std::uint32_t number_ = 0;
-  std::int64_t limit_ = 0, stands_ = 0;
+  std::int64_t limit_ = 0, requested_limit_ = 0;
 };
 
-// A gatekeeper's guaranteed part: what it may use while no keeper with the right can be reached. It is empty
-// at first, fills while it is on only, and is dropped when a keeper is there again.
+// A gatekeeper's guaranteed share of a guarded quota, for times when no leader can be reached: a token bucket
+// that is empty when it becomes active, refills while it is active only, and is dropped afterwards. `rate`
+// and `burst`: of the share.
 class FallbackShare {
  public:
-  void set_active(bool on, Time now) {
-    if (on == on_) return;
-    on_ = on;
-    level_ = 0;
-    filled_ = now;
+  void set_active(bool active, Time now) {
+    if (active == active_) return;
+    active_ = active;
+    tokens_ = 0;
+    refilled_at_ = now;
   }
-  bool active() const { return on_; }
+  bool active() const { return active_; }
   double available_tokens(double rate, double burst, Time now) const {
-    return on_ ? std::min(burst, level_ + units_in(rate, now - filled_)) : 0;
+    return active_ ? std::min(burst, tokens_ + units_in(rate, now - refilled_at_)) : 0;
   }
   bool covers(double units, double rate, double burst, Time now) const {
-    return on_ && available_tokens(rate, burst, now) >= units;
+    return active_ && available_tokens(rate, burst, now) >= units;
   }
   void spend(double units, double rate, double burst, Time now) {
-    level_ = available_tokens(rate, burst, now) - units;
-    filled_ = now;
+    tokens_ = available_tokens(rate, burst, now) - units;
+    refilled_at_ = now;
   }
 
  private:
-  bool on_ = false;
-  double level_ = 0;
-  Time filled_{0};
+  bool active_ = false;
+  double tokens_ = 0;
+  Time refilled_at_{0};
 };
 
-// What a gatekeeper may use of one customer's guarded quota: by grants, or of its part. `rate` and `burst`
-// are the part's.
+// What a gatekeeper may use of one customer's guarded quota: its lease, or its fallback share. `rate` and
+// `burst`: of the fallback share.
 struct GuardedQuota {
   HeldLease lease{kGuardedLeaseTime};
   FallbackShare fallback_share;
-  Time no_leader_until{-1};  // its keeper has said that it has no right
+  Time no_leader_until{-1};  // the leader has answered that it has no leadership; counts until then
 
   bool covers(std::int64_t used, double units, double rate, double burst, Time now) const {
     return lease.covers(used, std::llround(units), now) || fallback_share.covers(units, rate, burst, now);
   }
-  // True: by a grant, and so to be told as used; false: of the part.
+  // Returns true if the lease covers the units, which are then to be reported as used; false if they are of
+  // the fallback share.
   bool spend(std::int64_t used, double units, double rate, double burst, Time now) {
     if (lease.covers(used, std::llround(units), now)) return true;
     fallback_share.spend(units, rate, burst, now);
     return false;
   }
+  // The leader has refused request `number` since it has no leadership.
   void refused(std::uint32_t number, Time now) {
     if (number == lease.number()) no_leader_until = now + kRefusalTime;
   }
-  // The part is on while nobody who is reached has the right.
-  void update_fallback(const LeaderElection& rights, std::uint32_t customer, int self, Time now) {
-    const bool kept =
-        rights.leader(customer) == self ? rights.has_leadership(customer, now) : now >= no_leader_until;
-    fallback_share.set_active(rights.settled(now) && !kept, now);
+  // Activates the fallback share while no reachable gatekeeper has leadership, and only then.
+  void update_fallback(const LeaderElection& election, std::uint32_t customer, int self, Time now) {
+    const bool has_leader =
+        election.leader(customer) == self ? election.has_leadership(customer, now) : now >= no_leader_until;
+    fallback_share.set_active(election.settled(now) && !has_leader, now);
   }
 };
 
-// A ledger's level on its way to its keeper: told some times against loss, and taken once.
+// Tokens of a ledger on their way to its successor: sent several times against loss, applied once.
 struct PendingTransfer {
   std::uint32_t customer = 0, plan = 0;
-  std::uint64_t level = 0, number = 0;  // the level in hundredths of a unit
-  int times = 0;
+  std::uint64_t level = 0, number = 0;  // level: tokens in hundredths of a unit
+  int times_sent = 0;
   Time due{0};
 };
 
-// The ledgers that this gatekeeper keeps.
+// The ledgers that this gatekeeper leads.
 class Ledgers {
  public:
-  // `rights`: none where quotas are not guarded.
-  explicit Ledgers(const LeaderElection* rights) : rights_(rights) {}
+  // `election`: null for trusting quotas.
+  explicit Ledgers(const LeaderElection* election) : election_(election) {}
 
-  // May it keep that customer's, now?
+  // Returns whether this gatekeeper may act as the customer's leader now.
   bool has_leadership(std::uint32_t customer, Time now) const {
-    return !rights_ || rights_->has_leadership(customer, now);
+    return !election_ || election_->has_leadership(customer, now);
   }
-  // Opens it where there is none: full, or empty where quotas are guarded, since another may have given all.
+  // Returns the customer's ledger; opens it if there is none. A new one is full, but empty where quotas are
+  // guarded, since another leader may have granted everything.
   Ledger& open(const Ledger& fresh, Time now) {
-    auto [at, made] = all_.try_emplace(fresh.customer, fresh);
+    auto [at, opened] = all_.try_emplace(fresh.customer, fresh);
     auto& ledger = at->second;
-    if (!made && !rights_ && ledger.plan != fresh.plan) ledger.go_by(fresh, now);
-    if (!made) return ledger;
-    ledger.tokens = rights_ ? 0 : fresh.burst;
-    if (rights_) ledger.debt = kAllPaidBack;
+    if (!opened && !election_ && ledger.plan != fresh.plan) ledger.change_plan(fresh, now);
+    if (!opened) return ledger;
+    ledger.tokens = election_ ? 0 : fresh.burst;
+    if (election_) ledger.debt = kUnlimitedDebt;
     ledger.refilled_at = ledger.opened_at = ledger.requested_at = now;
     return ledger;
   }
-  // Without the right nothing fills; and what others do not vote this keeper for is theirs to fill.
+  // Refills a ledger. Without leadership nothing fills; and the shares of members that do not vote for this
+  // gatekeeper are not its to give.
   void fill(Ledger& ledger, Time now) const {
-    if (!rights_) return ledger.fill(now);
-    ledger.refilled_at = std::max(ledger.refilled_at, now - kRefusalTime);  // as after a stall
-    if (!rights_->has_leadership(ledger.customer, now)) {
+    if (!election_) return ledger.fill(now);
+    ledger.refilled_at = std::max(ledger.refilled_at, now - kRefusalTime);  // after a stall
+    if (!election_->has_leadership(ledger.customer, now)) {
       ledger.refilled_at = now;
       return;
     }
-    const double missing = rights_->missing_votes(ledger.customer, now);
-    ledger.fill(now, 1.0 - missing / rights_->members());
-    // Credits that wait to be spent are still of the burst: it does not fill again beside them.
-    ledger.tokens = std::min(ledger.tokens, std::max(0.0, ledger.burst - ledger.granted(now)));
+    const double missing = election_->missing_votes(ledger.customer, now);
+    ledger.fill(now, 1.0 - missing / election_->members());
+    // Unspent leases are part of the burst, so the bucket does not refill beyond the rest of it.
+    ledger.tokens = std::min(ledger.tokens, std::max(0.0, ledger.burst - ledger.outstanding_units(now)));
   }
 
   std::map<std::uint32_t, Ledger>& all() { return all_; }
   const std::map<std::uint32_t, Ledger>& all() const { return all_; }
 
-  // Claims that nothing was heard of for half of `after` go, and full ledgers that nobody asked about for so
-  // long; a part of all ledgers at each call.
+  // Erases claims that were not updated for half of `after`, and full ledgers that nobody requested for
+  // `after`. Each call covers some of the ledgers.
   void erase_idle(Time now, Time after) {
-    erase_some(all_, swept_, [&](auto& item) {
+    erase_some(all_, erase_cursor_, [&](auto& item) {
       auto& ledger = item.second;
-      std::erase_if(ledger.claims, [&](const auto& c) {
-        if (now - c.second.updated_at <= after / 2) return false;
-        ledger.gatekeepers_short.erase(c.first);
+      std::erase_if(ledger.claims, [&](const auto& claim) {
+        if (now - claim.second.updated_at <= after / 2) return false;
+        ledger.gatekeepers_short.erase(claim.first);
         return true;
       });
       return now - ledger.requested_at > after && (ledger.rate <= 0 || ledger.tokens >= ledger.burst);
     });
   }
 
-  // Ledgers whose keeper is another leave this one, but for those that have only just come to it, since who
-  // gave them will be gone. At a planned end all do.
-  void start_transfers(int self, bool ends, Time now) {
+  // Gives up ledgers that another gatekeeper should lead and queues their tokens for transfer. Ledgers opened
+  // within kMinStay stay, since the gatekeeper that transferred them is about to leave. At a planned shutdown
+  // all go.
+  void start_transfers(int self, bool shutting_down, Time now) {
     for (auto at = all_.begin(); at != all_.end();) {
       auto& ledger = at->second;
-      const bool stays = rights_->leader(ledger.customer) == self || now - ledger.opened_at < kStays;
-      if (stays && !ends) {
+      const bool stays = election_->leader(ledger.customer) == self || now - ledger.opened_at < kMinStay;
+      if (stays && !shutting_down) {
         ++at;
         continue;
       }
-      if (ends) fill(ledger, now);
-      const auto tokens = static_cast<std::uint64_t>(std::max(0.0, ledger.tokens) * kHandSteps);
-      if (ledger.rate > 0 && tokens > 0) {
-        hands_.push_back({ledger.customer, ledger.plan, tokens, ++handed_, 0, now});
+      if (shutting_down) fill(ledger, now);
+      const auto level = static_cast<std::uint64_t>(std::max(0.0, ledger.tokens) * kStepsPerUnit);
+      if (ledger.rate > 0 && level > 0) {
+        transfers_.push_back({ledger.customer, ledger.plan, level, ++transfers_started_, 0, now});
       }
       at = all_.erase(at);
     }
   }
-  // What is due is written; three times each.
+  // Calls `write(successor, transfer)` for each transfer that is due; each is sent kTransferSends times.
   template <typename Write>
   void send_transfers(int self, Time now, const Write& write) {
-    for (auto& h : hands_) {
-      const int keeper = rights_->successor(h.customer, self);
-      if (now < h.due || keeper < 0) continue;
-      write(keeper, h);
-      ++h.times;
-      h.due = now + kHandAgain;
+    for (auto& transfer : transfers_) {
+      const int successor = election_->successor(transfer.customer, self);
+      if (now < transfer.due || successor < 0) continue;
+      write(successor, transfer);
+      ++transfer.times_sent;
+      transfer.due = now + kTransferInterval;
     }
-    std::erase_if(hands_, [](const PendingTransfer& h) { return h.times >= kHandTimes; });
+    std::erase_if(transfers_, [](const PendingTransfer& t) { return t.times_sent >= kTransferSends; });
   }
-  bool has_transfers() const { return !hands_.empty(); }
-  std::uint64_t transfers_started() const { return handed_; }
-  std::uint64_t transfers_received() const { return taken_; }
-  // True: it was taken for the first time.
-  bool receive_transfer(Ledger& ledger, int from, std::uint32_t epoch, std::uint64_t tokens,
+  bool has_transfers() const { return !transfers_.empty(); }
+  std::uint64_t transfers_started() const { return transfers_started_; }
+  std::uint64_t transfers_received() const { return transfers_received_; }
+  // Adds transferred tokens. `epoch`: the sender's generations seen here; `level`: in hundredths of a unit.
+  // Returns false if this transfer was applied before.
+  bool receive_transfer(Ledger& ledger, int from, std::uint32_t epoch, std::uint64_t level,
                         std::uint64_t number, Time now) {
-    if (!ledger.hands.insert({from, epoch, number}).second) return false;
+    if (!ledger.applied_transfers.insert({from, epoch, number}).second) return false;
     fill(ledger, now);
-    ++taken_;
-    ledger.tokens = std::min(ledger.burst, ledger.tokens + static_cast<double>(tokens) / kHandSteps);
+    ++transfers_received_;
+    ledger.tokens = std::min(ledger.burst, ledger.tokens + static_cast<double>(level) / kStepsPerUnit);
     return true;
   }
 
  private:
-  static constexpr double kAllPaidBack = -1e9, kHandSteps = 100;
-  static constexpr int kHandTimes = 3;
-  static constexpr Time kStays = std::chrono::seconds(3);
-  static constexpr Time kHandAgain = std::chrono::milliseconds(60);
-  const LeaderElection* rights_;
+  static constexpr double kUnlimitedDebt = -1e9, kStepsPerUnit = 100;
+  static constexpr int kTransferSends = 3;
+  static constexpr Time kMinStay = std::chrono::seconds(3);
+  static constexpr Time kTransferInterval = std::chrono::milliseconds(60);
+  const LeaderElection* election_;
   std::map<std::uint32_t, Ledger> all_;
-  std::uint32_t swept_ = 0;
-  std::vector<PendingTransfer> hands_;
-  std::uint64_t handed_ = 0, taken_ = 0;
+  std::uint32_t erase_cursor_ = 0;
+  std::vector<PendingTransfer> transfers_;
+  std::uint64_t transfers_started_ = 0, transfers_received_ = 0;
 };
 
 }  // namespace cranemux::ledger
--- a/src/ledger/optimistic_lease.h
+++ b/src/ledger/optimistic_lease.h
@@ -1,9 +1,9 @@
-// Standing credit: a customer whose store is known to be far from empty needs no question before each
-// request. Its keeper says so with every answer; until it says otherwise, or for as long as that word counts,
-// its gatekeepers spend first and report afterwards, several requests in one report where they can. Once the
-// store runs low the keeper tells all that it knows of, and questions come first again, longer each time that
-// happens soon after the last. So mail follows customers that press on their quotas, not requests. Free of
-// I/O.
+// Optimistic leases: while a customer's bucket is known to be far from empty, its gatekeepers need no lease
+// for each request. The leader says with every answer whether that is so; until it says otherwise, or the
+// lease expires, gatekeepers spend first and report later, several requests in one report where possible.
+// When the bucket falls below the low watermark, the leader notifies all gatekeepers that it knows of, and
+// they request leases first again, longer each time that this recurs soon. So the messages grow with the
+// customers that come close to their quotas, not with requests. Free of I/O.
 #pragma once
 
 #include <algorithm>
@@ -15,85 +15,91 @@
 
 namespace cranemux::ledger {
 
-// At the keeper: may it be spent before it is asked for?
+// At the leader: whether a bucket is, or was recently, below the low watermark.
 class LowWatermark {
  public:
-  // The level, of a store of `burst`, has changed. True: it has just become tight, which others must hear.
-  bool update(double level, double burst, Time now) {
-    if (level >= kTight * burst) return false;
-    const bool news = !below(now);
-    if (news) holds_ = now - until_ < 2 * holds_ ? std::min<Time>(2 * holds_, kLongest) : kShortest;
-    until_ = now + holds_;
-    return news;
+  // The tokens in a bucket of `burst` have changed. Returns true if it has just fallen below the watermark,
+  // which the gatekeepers must be notified of.
+  bool update(double tokens, double burst, Time now) {
+    if (tokens >= kWatermark * burst) return false;
+    const bool crossed = !below(now);
+    if (crossed)
+      hold_time_ =
+          now - until_ < 2 * hold_time_ ? std::min<Time>(2 * hold_time_, kMaxHoldTime) : kMinHoldTime;
+    until_ = now + hold_time_;
+    return crossed;
   }
   bool below(Time now) const { return now < until_; }
 
  private:
-  static constexpr double kTight = 0.4;  // of the store: the rest goes while the word is on its way
-  static constexpr Time kShortest = std::chrono::seconds(2), kLongest = std::chrono::seconds(60);
-  Time until_{-1}, holds_{kShortest};
+  static constexpr double kWatermark =
+      0.4;  // of the bucket: the rest is spent while notifications are in flight
+  static constexpr Time kMinHoldTime = std::chrono::seconds(2), kMaxHoldTime = std::chrono::seconds(60);
+  Time until_{-1}, hold_time_{kMinHoldTime};
 };
 
-// At a gatekeeper.
+// At a gatekeeper, for one customer: permission to spend before a lease is requested, or to admit an
+// announced share of the requests.
 class OptimisticLease {
  public:
-  static constexpr Time kValidity = std::chrono::seconds(300);  // a keeper's word, before it is asked again
+  static constexpr Time kValidity = std::chrono::seconds(300);  // after it the leader is asked again
 
-  // The keeper's word; `share`: units of it that may be spent whether it is heard or not.
+  // Applies the leader's answer. `open`: the bucket is above the low watermark; `share`: units that may be
+  // spent even if the leader does not answer any more.
   void update(bool open, double share, Time now) {
     until_ = open ? now + kValidity : Time(-1);
-    if (open) throttled_until_ = Time(-1);
-    unsaid_ = false;
-    half_ = share / 2;
+    if (open) shedding_until_ = Time(-1);
+    has_unreported_ = false;
+    half_share_ = share / 2;
   }
   bool active(Time now) const { return now < until_; }
-  // A word to all (load_shedding.h): `part` of its requests, from 0 to 1, may go, the others not; 1: it is
-  // open.
-  void shed(double part, Time now) {
-    part_ = part;
-    throttled_until_ = part < 1 ? now + ShedTable::kEntryLifetime : Time(-1);
-    until_ = part < 1 ? Time(-1) : now + kValidity;
+  // Applies a ShedNotice. `admitted_share`: of its requests, from 0 to 1; the others are refused. 1 ends
+  // shedding.
+  void shed(double admitted_share, Time now) {
+    admitted_share_ = admitted_share;
+    shedding_until_ = admitted_share < 1 ? now + ShedTable::kEntryLifetime : Time(-1);
+    until_ = admitted_share < 1 ? Time(-1) : now + kValidity;
   }
-  bool shedding(Time now) const { return now < throttled_until_; }
-  double admitted_share() const { return part_; }
-  // `lot`: of a request, even from 0 to 1.
-  bool admits(double lot) const { return lot < part_; }
-  // Refused so: its keeper goes by what is asked for.
+  bool shedding(Time now) const { return now < shedding_until_; }
+  double admitted_share() const { return admitted_share_; }
+  // `shed_draw`: of a request, evenly distributed from 0 to 1.
+  bool admits(double shed_draw) const { return shed_draw < admitted_share_; }
+  // Records units that were refused by the share: the leader needs the whole demand.
   void record_shed(double units, Time now) {
-    turned_away_ += units;
-    gather(now);
+    units_shed_ += units;
+    schedule_report(now);
   }
-  double units_shed() const { return turned_away_; }  // units since the last report
-  // Is there nothing to ask, only to report when it is `due`?
+  double units_shed() const { return units_shed_; }  // since the last report
+  // Returns whether no lease is needed, only a report when it is `due`.
   bool only_reports(Time now) const { return active(now) || shedding(now); }
-  // `level`: of the store of `burst` as this gatekeeper knows it; `heard`: the keeper has left no question
-  // unanswered; `share`: what is left of it.
-  bool covers(double units, double share, double level, double burst, bool heard, Time now) const {
-    return active(now) && level - units >= kLeast * burst && (heard || share >= units);
+  // Returns whether the units may be spent now. `tokens`: in the bucket of `burst`, as this gatekeeper knows
+  // it; `heard`: the leader has left no request unanswered; `share`: what is left of it.
+  bool covers(double units, double share, double tokens, double burst, bool heard, Time now) const {
+    return active(now) && tokens - units >= kReserve * burst && (heard || share >= units);
   }
-  // It was spent so, and this is left of the share.
+  // Records units that were spent so. `share`: what is left of it.
   void spend(double share, Time now) {
-    gather(now);
+    schedule_report(now);
     if (needs_renewal(share, now)) due_ = std::min(due_, now);
   }
-  // Half of the share is used up: word is wanted, not only a report.
-  bool needs_renewal(double share, Time now) const { return share < half_ && !shedding(now); }
-  Time due() const { return due_; }  // the report, or the question
+  // Returns whether half of the share is used up, so that a request is sent instead of a report.
+  bool needs_renewal(double share, Time now) const { return share < half_share_ && !shedding(now); }
+  Time due() const { return due_; }  // when the report or the request is to be sent
   void reported() {
-    unsaid_ = false;
-    turned_away_ = 0;
+    has_unreported_ = false;
+    units_shed_ = 0;
   }
 
  private:
-  static constexpr double kLeast = 0.5;  // of the store is left alone
-  static constexpr Time kGather = std::chrono::seconds(1);
-  void gather(Time now) {
-    if (!unsaid_) due_ = now + kGather;
-    unsaid_ = true;
+  static constexpr double kReserve = 0.5;  // of the bucket: not spent under an optimistic lease
+  static constexpr Time kReportDelay = std::chrono::seconds(1);
+  void schedule_report(Time now) {
+    if (!has_unreported_) due_ = now + kReportDelay;
+    has_unreported_ = true;
   }
-  Time until_{-1}, due_{-1}, throttled_until_{-1};
-  bool unsaid_ = false;
-  double half_ = 0, part_ = 1, turned_away_ = 0;
+  Time until_{-1}, due_{-1}, shedding_until_{-1};
+  bool has_unreported_ = false;
+  double half_share_ = 0, admitted_share_ = 1, units_shed_ = 0;
 };
 
 }  // namespace cranemux::ledger
--- a/src/ledger/report.h
+++ b/src/ledger/report.h
@@ -1,4 +1,4 @@
-// What an operator wants to know of a guarded tier, in words.
+// The state of a guarded tier as text, for the console command `members`.
 #pragma once
 
 #include <string>
@@ -8,8 +8,9 @@
 
 namespace cranemux::ledger {
 
-// A line for each gatekeeper of the tier, one for what seems to be the matter, and one for the ledgers kept
-// here. `on_parts`: customers for whom this gatekeeper has turned to its guaranteed part.
-std::string tier_report(const Transport& mail, const Ledgers& ledgers, std::size_t on_parts, Time now);
+// Returns a line for each gatekeeper of the tier, one for the tier's condition, one for the ledgers led here,
+// and one for `on_fallback`: the number of customers for whom this gatekeeper uses its fallback share.
+std::string tier_report(const Transport& transport, const Ledgers& ledgers, std::size_t on_fallback,
+                        Time now);
 
 }  // namespace cranemux::ledger
--- a/src/ledger/request_pacing.h
+++ b/src/ledger/request_pacing.h
@@ -1,8 +1,8 @@
-// How often a keeper is asked about a customer that has nothing left. Each "none left" tells for how long not
-// to ask again; the keeper lengthens that while it is asked more often than what is left can serve, and
-// shortens it while it is not. So a customer far beyond its quota, at hundreds of gatekeepers, costs its
-// keeper no more messages than it takes to use the quota up, and a short burst is forgotten soon. Free of
-// I/O.
+// Paces the lease requests for a customer whose ledger is empty. Each answer "none left" carries a pause
+// after which the next request may be sent; the leader lengthens it while requests come faster than the
+// refill can serve them, and shortens it while they come more slowly. So a customer far beyond its quota at
+// hundreds of gatekeepers costs its leader no more messages than it takes to use up the quota, and the pause
+// recovers soon after a short burst. Free of I/O.
 #pragma once
 
 #include <algorithm>
@@ -12,39 +12,40 @@
 
 namespace cranemux::ledger {
 
-constexpr Time kPauseStep = std::chrono::milliseconds(50);  // on the wire
+constexpr Time kPauseStep = std::chrono::milliseconds(50);  // unit of the pause in a message
 
 class RequestPacing {
  public:
   struct Load {
-    double rate = 0;       // of the ledger, units a second
-    double most_asks = 1;  // a second, that one gatekeeper can hear
-    int gatekeepers = 1;   // of the tier
-    std::size_t askers = 1;
+    double rate = 0;           // of the ledger, units a second
+    double most_requests = 1;  // a second, that one gatekeeper can receive
+    int gatekeepers = 1;       // of the tier
+    std::size_t requesters = 1;
   };
-  // An ask has come.
-  void record_request(const Load& terms, Time now) {
-    // Few gatekeepers have messages to spare for every customer, and cannot ask too often if each waits its
-    // turn.
-    const double spare = terms.most_asks * std::min(1.0, kFew / std::max(1, terms.gatekeepers - 1));
-    const double least = std::max(kLeastAsks, spare);
-    const double wanted = std::clamp(kAsksOfUnit * terms.rate, least, std::max(least, terms.most_asks));
-    const double passed = static_cast<double>((now - at_).count()) / 1e9;
-    const double most = std::min(kMost, 2 * static_cast<double>(terms.askers) / wanted);
+  // Records a lease request and adapts the pause.
+  void record_request(const Load& load, Time now) {
+    // A few gatekeepers have messages to spare for every customer, and cannot overload the leader if each
+    // waits between its requests.
+    const double spare = load.most_requests * std::min(1.0, kFewPeers / std::max(1, load.gatekeepers - 1));
+    const double least = std::max(kLeastRequests, spare);
+    const double wanted =
+        std::clamp(kRequestsPerUnit * load.rate, least, std::max(least, load.most_requests));
+    const double passed = static_cast<double>((now - last_request_at_).count()) / 1e9;
+    const double most = std::min(kMaxPause, 2 * static_cast<double>(load.requesters) / wanted);
     pause_ = std::clamp(pause_ + kGain * (1 / wanted - passed), 0.0, most);
-    at_ = now;
+    last_request_at_ = now;
   }
-  // For how long who is told "none left" asks no more.
+  // Returns how long a gatekeeper that is answered "none left" waits before its next request.
   Time pause() const { return Time(static_cast<std::int64_t>(pause_ * 1e9)); }
 
  private:
-  static constexpr double kAsksOfUnit = 1.5;  // for each unit that fills: some come in vain
-  static constexpr double kLeastAsks = 2;     // a second
-  static constexpr double kFew = 4;           // gatekeepers that ask
-  static constexpr double kGain = 0.3;        // seconds of pause for each second of asks too much or too few
-  static constexpr double kMost = 6;          // seconds
-  double pause_ = 0;
-  Time at_{0};
+  static constexpr double kRequestsPerUnit = 1.5;  // for each unit of refill: some are answered "none left"
+  static constexpr double kLeastRequests = 2;      // a second
+  static constexpr double kFewPeers = 4;           // gatekeepers that send requests
+  static constexpr double kGain = 0.3;    // change of the pause for each second too early or too late
+  static constexpr double kMaxPause = 6;  // seconds
+  double pause_ = 0;                      // seconds
+  Time last_request_at_{0};
 };
 
 }  // namespace cranemux::ledger
--- a/tests/quota_bound_test.cpp
+++ b/tests/quota_bound_test.cpp
@@ -1,7 +1,7 @@
-// Three gatekeepers of the real program that guard their quotas, over a relay that loses, delays, repeats,
-// damages and cuts, with stand-in nodes that count: what each sender got sent on stays within 10% of its
-// quota over every window of two seconds and longer, and within the bound that `cranemux quota-bound` printed
-// beforehand.
+// Three processes of the program with guarded quotas, connected by a relay that loses, delays, repeats,
+// damages and blocks messages, with fake nodes that count requests. The units forwarded for each sender stay
+// within 10% of its quota over every window of two seconds and longer, and within the bound that `cranemux
+// quota-bound` printed beforehand.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -20,7 +20,7 @@
 
 struct quota_bound : ::testing::Test {
   quota_bound() : tier(std::getenv("CRANEMUX_PROGRAM"), 3, 42) {
-    // One far over its quota, two near it, and calm ones.
+    // One sender far over its quota, two near it, and three far below.
     tier.sender(20, 40, 120);
     tier.sender(10, 20, 12);
     tier.sender(10, 20, 9);
@@ -38,17 +38,17 @@
                   out),
               0)
         << out;
-    const auto told = json::parse(out);
-    for (const auto& plan : *told.find("plans")->array()) {
+    const auto printed = json::parse(out);
+    for (const auto& plan : *printed.find("plans")->array()) {
       bounds[*plan.find("plan")->string()] = plan.find("beyond")->as_double(-1);
     }
-    tier.play(4s);  // stores fill from nothing
+    tier.play(4s);  // buckets fill from empty
     began = Clock::now() - 4s;
   }
 
-  // `with_room`: the share of its tries that any sender within its quota may be refused although half of its
-  // store is there; `less`: the share of its quota that a sender beyond it may go without.
-  void judge(double with_room, double less) {
+  // `most_refused`: the share of its requests that a sender within its quota may have refused although half
+  // of its bucket is available; `most_lost`: the share of its quota that a sender beyond it may go without.
+  void check(double most_refused, double most_lost) {
     tier.finish();
     const double seconds = std::chrono::duration<double>(Clock::now() - began).count();
     for (const auto& s : tier.senders) {
@@ -56,16 +56,16 @@
       const auto beyond = tier.rules.most_beyond(s->name, s->rate, s->burst);
       EXPECT_LE(worst, 1.1) << s->name;
       EXPECT_LE(beyond, bounds.at(s->plan())) << s->name;
-      const auto [no, all] = tier.rules.refused_with_room(s->name, s->rate, s->burst);
-      const double refused = static_cast<double>(no) / static_cast<double>(all);
+      const auto [refusals, all] = tier.rules.refused_with_room(s->name, s->rate, s->burst);
+      const double refused = static_cast<double>(refusals) / static_cast<double>(all);
       const double got = tier.rules.units_begun(s->name) / (s->rate * seconds);
-      EXPECT_LE(s->asks < s->rate ? refused : 0, with_room) << s->name;
-      EXPECT_GE(s->asks > s->rate ? got : 1, 1 - less) << s->name;
+      EXPECT_LE(s->asks < s->rate ? refused : 0, most_refused) << s->name;
+      EXPECT_GE(s->asks > s->rate ? got : 1, 1 - most_lost) << s->name;
       std::cout << s->name << " asks " << s->asks << " of " << s->rate << ": worst window " << worst
                 << ", beyond " << beyond << " of " << bounds.at(s->plan()) << ", refused with room "
                 << refused << ", got " << got << " of its rate\n";
     }
-    // Who is killed or stopped owes no answer in time; what must run once runs once all the same.
+    // A killed or stopped gatekeeper need not answer in time, but a request that must run once runs once.
     for (const auto& broken : tier.rules.broken()) {
       if (broken.find(" ran ") != std::string::npos ||
           broken.find("two call attempts") != std::string::npos) {
@@ -92,7 +92,7 @@
     tier.relay->faults = {loss, 0.1, 0.02, 1ms, 30ms};
     tier.play(3s);
   }
-  judge(0.4, 0.6);
+  check(0.4, 0.6);
   EXPECT_LE(tier.relay->counts().longest, 256U);
   EXPECT_GT(tier.relay->counts().damaged, 0U);
 }
@@ -106,7 +106,7 @@
     tier.start(i);
     tier.play(1500ms);
   }
-  judge(0.75, 0.8);
+  check(0.75, 0.8);
 }
 
 TEST_F(quota_bound, all_restart_at_once) {
@@ -114,7 +114,7 @@
   for (int i = 0; i < 3; ++i) tier.kill(i);
   for (int i = 0; i < 3; ++i) tier.start(i);
   tier.play(6s);
-  judge(0.75, 0.8);
+  check(0.75, 0.8);
 }
 
 TEST_F(quota_bound, a_split_in_two_heals) {
@@ -124,11 +124,11 @@
   tier.relay->cut = [](int from, int to) { return (from == 0) != (to == 0); };
   tier.play(6s);
   EXPECT_NE(tier.console(0, "members").find("not heard"), std::string::npos) << tier.console(0, "members");
-  EXPECT_EQ(tier.console(0, "members").find("gatekeeper's part 0"), std::string::npos)
+  EXPECT_EQ(tier.console(0, "members").find("gatekeeper's fallback share 0"), std::string::npos)
       << tier.console(0, "members");
   tier.relay->cut = {};
   tier.play(4s);
-  judge(0.75, 0.8);
+  check(0.75, 0.8);
   EXPECT_GT(tier.relay->counts().cut, 50U);
 }
 
@@ -140,7 +140,7 @@
   tier.play(5s);
   tier.relay->cut = {};
   tier.play(2s);
-  judge(0.75, 0.8);
+  check(0.75, 0.8);
 }
 
 TEST_F(quota_bound, a_stalled_gatekeeper_returns) {
@@ -153,10 +153,10 @@
   tier.play(4s);
   tier.signal(2, SIGCONT);
   tier.play(3s);
-  judge(0.75, 0.8);
+  check(0.75, 0.8);
 }
 
-TEST_F(quota_bound, a_keeper_dies_with_grants_on_their_way_and_its_stand_in_too) {
+TEST_F(quota_bound, a_leader_and_its_replica_fail_with_grants_in_flight) {
   tier.relay->faults.least_delay = 15ms;
   tier.relay->faults.most_delay = 40ms;
   begin();
@@ -167,7 +167,7 @@
   tier.start(1);
   tier.start(2);
   tier.play(4s);
-  judge(0.75, 0.8);
+  check(0.75, 0.8);
 }
 
 TEST_F(quota_bound, senders_switch_gatekeepers_at_once) {
@@ -180,12 +180,12 @@
     for (std::size_t i = 0; i < at.size(); i += 2) at[i] = (at[i] + 1) % 3;
     tier.play(2s);
   }
-  judge(0.4, 0.6);
+  check(0.4, 0.6);
 }
 
-// A peer that lies: totals that go back, more than anyone can have used, another version, noise. Its own
-// senders may go short by it; nobody gets more.
-TEST_F(quota_bound, damaged_old_and_lying_messages) {
+// A faulty peer: totals that decrease or exceed any possible use, truncated messages, another version, and
+// noise. Its own senders may get less; nobody gets more.
+TEST_F(quota_bound, damaged_old_and_forged_messages) {
   begin();
   std::size_t n = 0;
   tier.relay->alter = [&](int from, int, std::string& bytes) {
@@ -212,13 +212,13 @@
       tier.relay->pretend(1, static_cast<int>(tier.random() % 2) * 2, noise);
     }
   });
-  judge(0.75, 0.8);
+  check(0.75, 0.8);
   for (int i = 0; i < 3; ++i) EXPECT_TRUE(tier.alive(i));
-  tier.relay->alter = {};  // it may be played on, without what stands here
+  tier.relay->alter = {};  // the relay may outlive the locals captured here
 }
 
-// The bound can fail: with quotas that trust, the same day goes far beyond it.
-TEST_F(quota_bound, trusting_gatekeepers_break_it) {
+// The check can fail: with trusting quotas the same faults exceed the limit.
+TEST_F(quota_bound, trusting_gatekeepers_exceed_it) {
   tier.quotas = "trusting";
   begin();
   tier.relay->cut = [](int from, int to) { return (from == 0) != (to == 0); };
