--- a/src/ledger/checksum.h
+++ b/src/ledger/checksum.h
@@ -1,7 +1,7 @@
-// The checksum that ends each message between gatekeepers. That of UDP has 16 bits, is optional over IPv4,
-// and is made anew by every proxy on the way, so it does not notice what such a one has damaged. A figure
-// that is wrong by one byte would stay: counters of a gatekeeper only ever grow, and the true ones would
-// count as overtaken from then on.
+// The checksum at the end of each message between gatekeepers. UDP's own has 16 bits, is optional over IPv4
+// and is computed anew by every proxy on the way, so it does not detect what a proxy has damaged. A counter
+// with one wrong byte would persist: a gatekeeper's counters only grow, so from then on its true counters
+// would be taken for overtaken ones.
 #pragma once
 
 #define XXH_INLINE_ALL
@@ -15,13 +15,15 @@
 
 namespace cranemux::ledger {
 
-constexpr std::size_t kChecksumBytes = 4;
+constexpr std::size_t kChecksumBytes = 4;  // XXH32 with seed 0, little endian
 
+// Appends the checksum of `message` to it.
 inline void append_checksum(std::string& message) {
   put_fixed(message, XXH32(message.data(), message.size(), 0), kChecksumBytes);
 }
 
-// Takes the checksum off the end of `message`. False: it does not fit what stands before it.
+// Removes the checksum from the end of `message`. Returns false, and leaves `message` as it is, if it is too
+// short or the checksum does not match.
 inline bool strip_checksum(std::string_view& message) {
   if (message.size() < kChecksumBytes) return false;
   const auto body = message.substr(0, message.size() - kChecksumBytes);
--- a/src/ledger/due_queue.h
+++ b/src/ledger/due_queue.h
@@ -1,5 +1,6 @@
-// Accounts with something to ask or tell, by when they are to be looked at, so that a look costs by what is
-// due and not by all that waits: where mail drowns, thousands do. Free of I/O.
+// A queue of accounts with a request or report to send, ordered by the time at which each is due. Processing
+// costs time for the accounts that are due, not for all that wait: under message overload thousands wait.
+// Free of I/O.
 #pragma once
 
 #include <algorithm>
@@ -14,25 +15,26 @@
 
 namespace cranemux::ledger {
 
+// Customers by the time at which their accounts are due, each at most once.
 class DueQueue {
  public:
-  // Looked at by then, or sooner where that was said already.
+  // Schedules the customer's account for `when`; an earlier time that is already set stays.
   void schedule(std::uint32_t customer, Time when) {
-    const auto [at, fresh] = when_.try_emplace(customer, when);
-    if (!fresh && at->second <= when) return;
-    if (!fresh) order_.erase({at->second, customer});
+    const auto [at, inserted] = when_.try_emplace(customer, when);
+    if (!inserted && at->second <= when) return;
+    if (!inserted) order_.erase({at->second, customer});
     at->second = when;
     order_.insert({when, customer});
   }
   bool contains(std::uint32_t customer) const { return when_.contains(customer); }
-  // When the next one is due, or nothing.
+  // Returns when the next account is due, or nothing if none is scheduled.
   std::optional<Time> next_due() const {
     return order_.empty() ? std::nullopt : std::optional(order_.begin()->first);
   }
-  // `look(customer)` says when to look again, or nothing where there is no more to say; in the order of
-  // customers.
-  template <typename Look>
-  void process_due(Time now, const Look& look) {
+  // Removes all accounts that are due and calls `process(customer)` for each, in the order of customers. It
+  // returns when to schedule the account again, or nothing.
+  template <typename Process>
+  void process_due(Time now, const Process& process) {
     std::vector<std::uint32_t> due;
     for (auto at = order_.begin(); at != order_.end() && at->first <= now; at = order_.erase(at)) {
       due.push_back(at->second);
@@ -40,13 +42,13 @@
     }
     std::sort(due.begin(), due.end());
     for (const auto customer : due) {
-      if (const std::optional<Time> again = look(customer)) schedule(customer, *again);
+      if (const std::optional<Time> again = process(customer)) schedule(customer, *again);
     }
   }
 
  private:
-  std::map<std::uint32_t, Time> when_;
-  std::set<std::pair<Time, std::uint32_t>> order_;
+  std::map<std::uint32_t, Time> when_;              // by customer
+  std::set<std::pair<Time, std::uint32_t>> order_;  // the same, by time
 };
 
 }  // namespace cranemux::ledger
--- a/src/ledger/leader_election.h
+++ b/src/ledger/leader_election.h
@@ -1,13 +1,15 @@
-// Who may keep ledgers, so that no two keepers fill one customer's store at once: whatever is lost, late,
-// sent twice or out of order, whoever stops, starts or is cut off.
+// Elects the leader of each customer's ledger where quotas are guarded, so that no two members fill one
+// customer's token bucket at once: whatever message is lost, late, repeated or reordered, and whichever
+// member stops, starts or is cut off. Free of I/O.
 //
-// Each gatekeeper has a view: whom it has not heard for `silence`. It tells its view in every message, and so
-// votes, for each customer, for the first keeper in the customer's order that is in its view. A keeper holds
-// the right while more than half of the tier vote for it. A vote counts for `lease` from the moment at which
-// the keeper sent what the voter had heard last when it voted: so it is the keeper's own clock that ends it,
-// however late the vote came. Whoever changes its view, or has just started, tells none for `quiet`, which is
-// longer than a lease, so its old vote has ended before its new one counts. More than half have one member in
-// common with any other more than half, and that member has one vote at a time.
+// Each member has a view: the members that it has not heard for `failure_timeout`. It sends its view in
+// every message and so votes, for each customer, for the first member in the customer's order
+// (rendezvous_hash.h) that its view does not hold failed. A member leads a ledger while more than half of the
+// tier vote for it. A vote counts for `lease` from the moment when the leader sent the message that the voter
+// had received last when it voted. So the leader's own clock ends the vote, however late it came. A member
+// that has changed its view, or has just started, sends no view for `vote_pause`, which is longer than a
+// lease, so its old vote has ended before its new one counts. Any two majorities have a member in common,
+// and that member has one vote at a time.
 //
 // After "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency" (C. Gray,
 // D. Cheriton, SOSP 1989), section 5 on clocks, with majorities in place of one server.
@@ -20,82 +22,91 @@
 
 namespace cranemux::ledger {
 
-using Time = std::chrono::nanoseconds;  // of the holder's steady clock
-using View = std::uint64_t;             // a bit for each member held gone
-constexpr int kMaxGuardedMembers = 63;  // members of a tier that guards its quotas
+using Time = std::chrono::nanoseconds;  // of the owner's steady clock
+using View = std::uint64_t;             // a bit for each member that is held failed
+constexpr int kMaxGuardedMembers = 63;  // members of a tier with guarded quotas: a View travels in 63 bits
 
+// Durations of the election, the same at all members of a tier.
 struct HeartbeatTimings {
   Time interval{};         // a message goes to every member at least this often
-  Time lease{};            // a vote counts for so long
-  Time failure_timeout{};  // who was not heard for so long is held gone
-  Time vote_pause{};       // no vote for so long after a change of view
+  Time lease{};            // how long a vote counts
+  Time failure_timeout{};  // a member that was not heard for so long is held failed
+  Time vote_pause{};       // no vote for so long after a start or a change of view
 };
-// `messages_per_s`: that one gatekeeper may send. Half of them carry votes where nothing else flows.
+// Returns the timings for a tier of `members`. `messages_per_s`: that one gatekeeper may send; if it sends
+// nothing else, half of them are heartbeats.
 HeartbeatTimings heartbeat_timings(int members, double messages_per_s);
 
-// Milliseconds of a life, in 24 bits on the wire.
+// Milliseconds since the sender's start, modulo 2^24 as on the wire.
 using Stamp = std::uint32_t;
 constexpr Stamp kStampMask = 0xffffffU;
 
-// What a message says of this.
+// The fields of the election in a message's header (guarded_header.h).
 struct Heartbeat {
-  Stamp stamp = 0;                    // when it left, by its sender's life
-  std::uint16_t echo_generation = 0;  // of the receiver, as the sender last heard it ...
-  Stamp echo = 0;                     // ... and its stamp then
-  bool has_echo = false;              // false: has heard nothing of it
-  std::optional<View> view;           // none: not settled
+  Stamp stamp = 0;                    // when the message was sent
+  std::uint16_t echo_generation = 0;  // generation of the receiver in its last message to the sender ...
+  Stamp echo = 0;                     // ... and the stamp of that message
+  bool has_echo = false;              // false: the sender has received nothing from the receiver
+  std::optional<View> view;           // the sender's vote; none during its vote pause
 };
 
+// One member's part in the election.
 class LeaderElection {
  public:
-  LeaderElection(int members, int self, std::uint16_t life, const HeartbeatTimings& beats, Time now);
+  // `generation`: number of this start of the gatekeeper; two starts may have the same.
+  LeaderElection(int members, int self, std::uint16_t generation, const HeartbeatTimings& timings, Time now);
 
-  // False: the message was overtaken by a later one.
-  bool receive(int from, std::uint16_t life, const Heartbeat& word, Time now);
+  // Records a heartbeat. Returns false if a later one of the same sender has overtaken it.
+  bool receive(int from, std::uint16_t generation, const Heartbeat& heartbeat, Time now);
+  // Returns the heartbeat to send to that member now.
   Heartbeat heartbeat_for(int to, Time now) const;
-  // Takes a new look at whom it has heard. True: the view has changed.
+  // Recomputes the view from when each member was last heard. Returns whether it has changed.
   bool update_view(Time now);
 
+  // Whether the own view holds that member failed.
   bool failed(int member) const { return (view_ >> static_cast<unsigned>(member) & 1U) != 0; }
+  // Whether the vote pause is over.
   bool settled(Time now) const { return now >= settled_at_; }
-  // Whom to ask about a customer, by the own view: the first in its order; itself where all others are gone.
+  // Returns the customer's leader by the own view: the first in its order; itself if all others failed.
   int leader(std::uint32_t customer) const;
-  // Who should have this one's ledger of the customer, if it is not `without`; -1: nobody is there.
+  // Returns who should lead the customer's ledger after member `without`; -1: no other member is heard.
   int successor(std::uint32_t customer, int without) const;
-  // May this one keep the customer's ledger, now?
+  // Returns whether this member leads the customer's ledger now, by a majority of votes.
   bool has_leadership(std::uint32_t customer, Time now) const;
-  // Members that do not vote for this one as the customer's keeper: their part is not its to give.
+  // Returns the number of other members that do not vote for this one as the customer's leader now. Their
+  // shares of the quota are not the leader's to grant.
   int missing_votes(std::uint32_t customer, Time now) const;
-  const HeartbeatTimings& timings() const { return beats_; }
+  const HeartbeatTimings& timings() const { return timings_; }
   int members() const { return members_; }
-  // Starts of a member that have been heard here, also where two drew the same number.
+  // Returns the number of starts of that member that were heard here, counting two that drew the same
+  // generation.
   std::uint32_t generations_seen(int member) const {
     return others_[static_cast<std::size_t>(member)].generations_seen;
   }
   View view() const { return view_; }
-  // All that later behaviour depends on, with times as far from now as still matters: two with equal pictures
-  // behave alike. For searches over states.
+  // Returns all state that later behaviour depends on, with times relative to `now` and none in the past.
+  // Two elections with equal snapshots behave alike, so a search over states can merge them.
   std::vector<std::int64_t> state_snapshot(Time now) const;
 
  private:
   struct Other {
     Time heard{-1};
-    std::uint16_t life = 0;
+    std::uint16_t generation = 0;
     std::uint32_t generations_seen = 0;
-    Stamp stamp = 0;           // its own, as last heard
-    std::optional<View> view;  // its vote ...
-    Time vote_ends{-1};        // ... counts until then
+    Stamp stamp = 0;           // of its last message
+    std::optional<View> view;  // its vote, which counts ...
+    Time vote_ends{-1};        // ... until then
   };
   bool votes_for_me(const Other& other, std::uint32_t customer, Time now) const;
   Stamp stamp(Time now) const;
 
   const int members_, self_;
-  const std::uint16_t life_;
-  const HeartbeatTimings beats_;
-  const Time began_;
-  std::vector<Other> others_;
+  const std::uint16_t generation_;
+  const HeartbeatTimings timings_;
+  const Time started_at_;
+  std::vector<Other> others_;  // by member
   View view_ = 0;
-  Time settled_at_;
+  Time settled_at_;  // end of the vote pause
 };
 
 }  // namespace cranemux::ledger
--- a/src/ledger/message_budget.h
+++ b/src/ledger/message_budget.h
@@ -1,22 +1,28 @@
-// How many messages a gatekeeper lets go, so that none is sent more than it takes in. Free of I/O.
+// The rate at which a gatekeeper may send messages, so that none is sent more than it can receive. Free of
+// I/O.
 #pragma once
 
 #include <algorithm>
 
 namespace cranemux::ledger {
 
-constexpr double kMessageShare = 0.6;  // a gatekeeper sends this share of the messages that one takes in ...
-constexpr double kMessageSharePeers = 4;  // ... and more where its mail goes to more peers than these
-constexpr double kDedicatedMessageShare =
-    0.9;                             // the same, where all its mail goes to members set aside to take it in
-constexpr double kMessageBurst = 5;  // messages that may go at once after a quiet spell
+// The share of the messages that one gatekeeper can receive that each may send, without dedicated leaders.
+constexpr double kMessageShare = 0.6;
+constexpr double kMessageSharePeers = 4;  // with more peers than these a gatekeeper may send more
+// The same with dedicated quota leaders: all messages go to or come from these, whose task is to receive
+// them.
+constexpr double kDedicatedMessageShare = 0.9;
+constexpr double kMessageBurst = 5;  // messages that may leave at once after a pause
 
-// A second. `taken_in`: by one gatekeeper; `aside`: members set aside to keep ledgers, the last of `members`.
-inline double message_rate(double taken_in, int self, int members, int aside) {
-  if (aside > 0 && self < members - aside) return kDedicatedMessageShare * taken_in;
-  // All of them together send each gatekeeper no more than it takes in.
-  if (aside > 0) return kDedicatedMessageShare * taken_in * (members - aside) / aside;
-  return kMessageShare * taken_in * std::max(1.0, (members - 1) / kMessageSharePeers);
+// Returns the messages a second that gatekeeper `self` of `members` may send. `received_per_s`: that one
+// gatekeeper can receive; `dedicated_leaders`: number of dedicated quota leaders, the last of `members`.
+inline double message_rate(double received_per_s, int self, int members, int dedicated_leaders) {
+  if (dedicated_leaders > 0 && self < members - dedicated_leaders)
+    return kDedicatedMessageShare * received_per_s;
+  // All dedicated leaders together send each gatekeeper no more than it can receive.
+  if (dedicated_leaders > 0)
+    return kDedicatedMessageShare * received_per_s * (members - dedicated_leaders) / dedicated_leaders;
+  return kMessageShare * received_per_s * std::max(1.0, (members - 1) / kMessageSharePeers);
 }
 
 }  // namespace cranemux::ledger
--- a/src/ledger/rendezvous_hash.h
+++ b/src/ledger/rendezvous_hash.h
@@ -1,5 +1,6 @@
-// Who keeps a customer's ledger: rendezvous hashing (D. Thaler, C. Ravishankar, "Using Name-Based Mappings to
-// Increase Hit Rates", 1998). Every gatekeeper works it out alike; one that goes moves only what it kept.
+// Ranks the members of a tier for each customer by rendezvous hashing (D. Thaler, C. Ravishankar, "Using
+// Name-Based Mappings to Increase Hit Rates", 1998). All gatekeepers compute the same order, and when a
+// member leaves only the ledgers that it led get another leader. Free of I/O.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +10,8 @@
 
 namespace cranemux::ledger {
 
-// SplitMix64's finaliser (S. Vigna) over both: the highest is first.
+// Returns the rank of `member` for the customer, the highest being first: SplitMix64's finaliser (S. Vigna)
+// over both.
 inline std::uint64_t rendezvous_rank(std::uint32_t customer, int member) {
   auto z = (static_cast<std::uint64_t>(customer) << 32U | static_cast<std::uint32_t>(member)) +
            0x9e3779b97f4a7c15ULL;
@@ -18,18 +20,18 @@
   return z ^ z >> 31U;
 }
 
-// The first `most` of them in order, the keeper in front.
-inline std::vector<int> ranked_members(std::uint32_t customer, int members, int most) {
+// Returns the first `max_count` members in the customer's order, its quota leader first.
+inline std::vector<int> ranked_members(std::uint32_t customer, int members, int max_count) {
   std::vector<std::pair<std::uint64_t, int>> all;
   for (int m = 0; m < members; ++m) all.emplace_back(rendezvous_rank(customer, m), m);
-  const auto end = all.begin() + std::min(most, members);
+  const auto end = all.begin() + std::min(max_count, members);
   std::partial_sort(all.begin(), end, all.end(), std::greater<>());
   std::vector<int> out;
   for (auto at = all.begin(); at != end; ++at) out.push_back(at->second);
   return out;
 }
 
-// The first that `usable` lets be, or -1.
+// Returns the first member in the customer's order for which `usable(member)` is true, or -1.
 template <typename Usable>
 int highest_ranked(std::uint32_t customer, int members, const Usable& usable) {
   int best = -1;
--- a/src/ledger/request_timing.h
+++ b/src/ledger/request_timing.h
@@ -1,4 +1,5 @@
-// When a gatekeeper asks a quota leader, and asks again what was not answered. Free of I/O.
+// When a gatekeeper sends lease requests to a quota leader, and repeats those that were not answered. Free of
+// I/O.
 #pragma once
 
 #include <algorithm>
@@ -9,20 +10,22 @@
 
 namespace cranemux::ledger {
 
-constexpr Time kAnswerTimeout = std::chrono::milliseconds(60);  // about two message times and two ticks
-constexpr Time kReportAnswerTimeout = std::chrono::seconds(1);  // where no request waits for the answer
-constexpr int kMaxBackoffDoublings = 6;                         // each next question waits twice as long
-constexpr int kMaxBackoffDoublingsIfHeard = 2;                  // where the one asked is known to be there
-constexpr int kUnansweredToSuspect = 4;  // by then loss is unlikely: the leader that was asked is suspected
+constexpr Time kAnswerTimeout = std::chrono::milliseconds(60);  // about two message delays and two ticks
+constexpr Time kReportAnswerTimeout = std::chrono::seconds(1);  // if no held request waits for the answer
+constexpr int kMaxBackoffDoublings = 6;         // the wait doubles with each unanswered request
+constexpr int kMaxBackoffDoublingsIfHeard = 2;  // if the leader was heard since the answer was due
+// Unanswered requests in a row after which the leader is suspected: so many are unlikely to be lost.
+constexpr int kUnansweredToSuspect = 4;
 
-inline bool awaits_answer(const Account& a) { return a.requested_at > a.answered_at; }
+inline bool awaits_answer(const Account& account) { return account.requested_at > account.answered_at; }
 
-// From its last question to the next one. `pause`: for so long its leader, which has none left, wants not to
-// be asked; `subperiod`: between questions where nothing new is held.
-inline Time delay_to_next_request(const Account& a, Time pause, Time subperiod, int most_doublings) {
-  if (!awaits_answer(a)) return a.held_units > a.requested_units ? pause : std::max(pause, subperiod);
-  const int doublings = std::clamp(a.unanswered_requests, 0, most_doublings);
-  return (a.held_requests > 0 ? std::max(kAnswerTimeout, pause / 2) : kReportAnswerTimeout) *
+// Returns the time between the account's last request and its next one. `pause`: wait that the leader asked
+// for when it had no tokens left; `subperiod`: between requests while nothing more is held.
+inline Time delay_to_next_request(const Account& account, Time pause, Time subperiod, int max_doublings) {
+  if (!awaits_answer(account))
+    return account.held_units > account.requested_units ? pause : std::max(pause, subperiod);
+  const int doublings = std::clamp(account.unanswered_requests, 0, max_doublings);
+  return (account.held_requests > 0 ? std::max(kAnswerTimeout, pause / 2) : kReportAnswerTimeout) *
          (1 << doublings);
 }
 
