--- a/src/decision_module.cpp
+++ b/src/decision_module.cpp
@@ -1,7 +1,8 @@
-// cranemux: every decision of a quota gateway. Interface: include/cranemux/decision_module.h
+// The decision module: every routing, quota and retry decision of a gateway, free of I/O. Interface:
+// include/cranemux/decision_module.h
 //
-// Contents: tuned values; records; quota ledger and split, ceilings; held requests; peer messages; keepers;
-// server choice and health; attempts and answers; the clock.
+// Contents: constants; records; quotas; held requests; peer messages; quota leaders; server selection and
+// health; attempts and answers; the clock.
 #include "cranemux/decision_module.h"
 
 #include <algorithm>
@@ -30,81 +31,110 @@
 namespace cranemux {
 namespace {
 
-// ---- tuned values -------------------------------------------------------------------------------
+// ---- constants ----------------------------------------------------------------------------------
+
+// Shares "of the aim" are multiples of the aim (ClassSettings::aim) of the request's class.
 
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSecond = 1'000 * kMs;
-
-constexpr Nanos kSubperiod = 250 * kMs;        // the design's; short against every aim seen
-constexpr Nanos kTick = 10 * kMs;              // held requests and time-outs are looked at this often
-constexpr Nanos kCreditLife = 2 * kSubperiod;  // credits older than this are stale (after a stall)
-constexpr Nanos kAnswerMargin = 8 * kMs;       // the final answer leaves this long before the deadline
-constexpr double kHoldOfAim = 0.5;             // hold bound without a credit, as a share of the aim
-constexpr double kHoldTold = 0.2;              // and where the keeper has said that it has none
-constexpr double kRepeatAge = 0.3;             // of the aim: age of a marked repeat whose budget tells none
-constexpr Nanos kHoldBound = 500 * kMs;        // and never longer than two subperiods
-constexpr double kOtherZone = 1.15;            // a server in another zone must be this much better
-constexpr double kFirstLatency = 0.15;         // of the aim: guess for the mean answer, before the first
-constexpr double kOpening = 40;         // reluctance to open a connection, for each try that it is worth
-constexpr double kGood = 0.25;          // answers within this share of the aim open the window
-constexpr double kBad = 0.4;            // answers past this share of the aim close it
-constexpr Nanos kCutEvery = 100 * kMs;  // late answers closer together are one piece of news
-constexpr double kIdle = 0.3;           // of the windows in use: under it servers take more
-constexpr double kQueueOfAim = 0.2;     // wait for a server with a credit, as a share of the aim
-constexpr int kStrikes = 3;             // failures in a row that eject a server
-constexpr int kDoubt = 2;               // and by then what is late there is called off to try elsewhere
-constexpr Nanos kEject = 2 * kSecond;   // first ejection; doubles up to kEjectMax
-constexpr Nanos kEjectMax = 4 * kSecond;
-constexpr double kTimeoutMin = 0.30, kTimeoutMax = 0.50;  // of the aim: when to try elsewhere
-constexpr double kHedgeShare = 0.08;                      // second copies for each first attempt, at most
-constexpr Nanos kRateWindow = 4 * kSecond;                // memory of the own rate of answers
-constexpr double kColdTurn = 0.01;  // a turn at a cold server goes before any other: it is gone if not used
-constexpr double kHolding = 0.25;   // of a set: gateways that hold requests of a customer at once
-constexpr Nanos kForget = 60 * kSecond;     // what nobody has asked about for so long may be forgotten ...
-constexpr Nanos kRemember = 300 * kSecond;  // ... or for so long, while it is not too many
+constexpr std::uint64_t kTimerToken = 1;
+
+constexpr Nanos kSubperiod = 250 * kMs;  // between splits of the ledgers; short against the aims of classes
+constexpr Nanos kTick = 10 * kMs;        // between checks of held requests and time-outs
+constexpr Nanos kLeaseTime = 2 * kSubperiod;       // trusting: an older answer is stale, as after a stall
+constexpr Nanos kAnswerMargin = 8 * kMs;           // the final answer leaves this long before the deadline
+constexpr std::uint32_t kGenerationMask = 0xffff;  // a generation travels in 16 bits
+
+// Holding of requests without a lease.
+constexpr double kHoldAimShare = 0.5;           // longest hold, of the aim
+constexpr Nanos kMaxHold = 500 * kMs;           // longest hold; two subperiods
+constexpr double kExhaustedHoldAimShare = 0.2;  // longest hold once the leader has no tokens left, of the aim
+constexpr double kRepeatAgeAimShare = 0.3;      // of the aim: age of a repeat whose budget does not tell it
+constexpr double kQueueAimShare = 0.2;          // wait for a server with a lease, of the aim
+constexpr double kHoldingShare = 0.25;     // of a customer's gateways: hold requests of it at the same time
+constexpr double kOptimisticRequests = 2;  // of the largest size: covered without an answer of the leader
+constexpr std::uint64_t kMaxPauseSteps = 255;     // of ledger::kPauseStep, in a lease
+constexpr Nanos kMaxUploadTime = 3600 * kSecond;  // of a request body; the sender times it out sooner
+constexpr double kMaxRetryAdviceSeconds = 60;
+
+// Server selection: factors of a server's expected answer time.
+constexpr double kOtherZoneCostFactor = 1.15;   // a server in another zone must be this much better
+constexpr double kConnectionCostFactor = 40;    // of a new connection, for each first try that it costs
+constexpr double kColdServerCostFactor = 0.01;  // tokens of cold servers go first: unused ones are lost
+constexpr double kTriedServerCostFactor = 100;  // a server that the request was sent to before
+constexpr double kCostJitter = 0.05;
+constexpr double kInitialLatencyAimShare = 0.15;  // of the aim: mean answer time, before the first answer
+
+// Concurrency windows.
+constexpr double kGoodAnswerAimShare = 0.25;        // of the aim: answers within this open the window
+constexpr double kLateAnswerAimShare = 0.4;         // of the aim: answers past this close it
+constexpr Nanos kMinWindowCutInterval = 100 * kMs;  // late answers closer together close it once
+constexpr double kIdleUse = 0.3;  // of the windows: below this use, requests beyond a quota are served
+
+// Ejection, retries and hedging.
+constexpr int kFailuresToEject = 3;            // consecutive
+constexpr int kFailuresToSuspect = 2;          // consecutive; late attempts there are retried elsewhere
+constexpr Nanos kFirstEjection = 2 * kSecond;  // doubles with each further one, up to kMaxEjection
+constexpr Nanos kMaxEjection = 4 * kSecond;
+constexpr double kMinTimeoutAimShare = 0.30, kMaxTimeoutAimShare = 0.50;  // of the aim: until a retry
+constexpr double kTimeoutPerMeanAnswer = 3;      // multiple of the server's mean answer time, in these bounds
+constexpr double kHedgeTokensPerRequest = 0.08;  // second copies for each first attempt, at most
+constexpr double kMaxHedgeTokens = 20;
+constexpr Nanos kAnswerRateWindow = 4 * kSecond;  // over which the own rate of answers decays
+
+// Idle state.
+constexpr Nanos kForgetAfterIfFew = 300 * kSecond;  // idle accounts and ledgers are erased after this ...
+constexpr Nanos kForgetAfter = 60 * kSecond;  // ... or this, from kManyAccounts on; removed servers, too
 constexpr std::size_t kManyAccounts = 16384;
 
-constexpr Nanos kUploadMost = 3600 * kSecond;  // a body on its way: its sender sees to its end
-
 // ---- records ------------------------------------------------------------------------------------
 
 using ledger::Account;
-using ledger::Ledger;  // of a customer whose keeper this gateway is
+using ledger::Ledger;
 using ledger::QuotaState;
 using pool::Server;
+
 struct Attempt {
-  int server = 0;
-  Nanos sent = 0;
-  bool out = true, may_have_run = true, cut = false;
+  int server = 0;  // index in Impl::servers_
+  Nanos sent_at = 0;
+  bool pending = true, may_have_run = true, cancelled = false;
 };
 
+// A request from its arrival to its last outcome.
 struct Job {
   Request request;
   const ClassSettings* klass = nullptr;
-  std::uint32_t account = 0;
-  Nanos arrived = 0, deadline = 0, goal = 0, hold_until = 0, next_try = 0;
-  bool admitted = false, done = false, beyond = false;
-  double lot = 0;  // where customers are throttled
-  int out = 0;
+  std::uint32_t account = 0;  // the customer's hash
+  Nanos arrived = 0, deadline = 0;
+  Nanos aim_end = 0;  // an answer by then earns full worth
+  Nanos hold_until = 0, retry_at = 0;
+  bool admitted = false;      // no longer held: sent, or answered
+  bool done = false;          // it has its final answer
+  bool beyond_quota = false;  // sent without tokens
+  double shed_draw = 0;       // random, from 0 to under 1: compared with the admitted share
+  int attempts_out = 0;
   std::vector<Attempt> attempts;
 };
 
 }  // namespace
 
+// The state and the decisions of one module: on() handles an event, act() emits an action.
 class DecisionModule::Impl {
  public:
-  explicit Impl(const Settings& settings, const std::shared_ptr<QuotaState>& books = nullptr)
-      : s_(settings), random_(settings.seed), books_(books ? books : std::make_shared<QuotaState>()) {
+  explicit Impl(const Settings& settings, const std::shared_ptr<QuotaState>& quota_state = nullptr)
+      : settings_(settings),
+        random_(settings.seed),
+        quota_state_(quota_state ? quota_state : std::make_shared<QuotaState>()) {
     config::check(settings);
-    if (!books) {
-      books_->plans = s_.plans;
-      life_ = static_cast<std::uint32_t>(random_() & 0xffffU);
+    if (!quota_state) {
+      quota_state_->plans = settings_.plans;
+      generation_ = static_cast<std::uint32_t>(random_() & kGenerationMask);
     }
-    if (plans_ != s_.plans) throw std::invalid_argument("cranemux: shared quotas need equal plans");
-    fresh_.window = windows_.first();
+    if (plans_ != settings_.plans) throw std::invalid_argument("cranemux: shared quotas need equal plans");
+    new_server_.window = windows_.first();
   }
 
-  const std::shared_ptr<QuotaState>& books() const { return books_; }
+  const std::shared_ptr<QuotaState>& quota_state() const { return quota_state_; }
 
   std::optional<Allowance> allowance(Nanos now, const std::string& customer) const {
     const auto at = accounts_.find(ledger::hash_of(customer));
@@ -119,22 +149,22 @@
   }
 
   std::string guard_report(Nanos now) const {
-    if (!s_.guarded || !books_->transport) return {};
-    const auto on = std::count_if(accounts_.begin(), accounts_.end(), [](const auto& a) {
-      return a.second.guarded_quota.fallback_share.active();
+    if (!settings_.guarded || !quota_state_->transport) return {};
+    const auto on_fallback = std::count_if(accounts_.begin(), accounts_.end(), [](const auto& item) {
+      return item.second.guarded_quota.fallback_share.active();
     });
-    return ledger::tier_report(*books_->transport, *books_->ledgers, static_cast<std::size_t>(on),
-                               ledger::Time(now));
+    return ledger::tier_report(*quota_state_->transport, *quota_state_->ledgers,
+                               static_cast<std::size_t>(on_fallback), ledger::Time(now));
   }
 
-  std::string save() { return s_.guarded || !started_ ? std::string() : handover::save(memory()); }
+  std::string save() { return settings_.guarded || !started_ ? std::string() : handover::save(memory()); }
 
   bool restore(Nanos now, const std::string& bytes, std::vector<Action>& actions) {
-    auto state = handover::read(bytes, s_, now);
-    if (!state || s_.guarded || started_) return false;
+    auto state = handover::read(bytes, settings_, now);
+    if (!state || settings_.guarded || started_) return false;
     now_ = now;
     actions_ = &actions;
-    life_ = state->life;
+    generation_ = state->life;
     start();
     handover::take_up(std::move(*state), memory());
     return true;
@@ -146,17 +176,18 @@
     if (!started_) start();
     leader_selection().tick(time());
     for (const auto& event : events) std::visit([this](const auto& e) { on(e); }, event);
-    if (freed_ && now_ < next_tick_) release_held();
+    if (lease_changed_ && now_ < next_tick_) release_held();
     if (now_ >= next_tick_) tick();
     transport().send_due(time(), [this](int to, std::string bytes) {
       act(SendToPeer{to, std::move(bytes)});
     });
-    wake();
+    set_timer();
   }
 
  private:
   handover::Memory memory() {
-    return {*books_, served_recently_, hedge_tokens_, budgets_, servers_, by_id_, s_.classes};
+    return {*quota_state_, recent_answers_, hedge_tokens_,    budgets_,
+            servers_,      server_index_,   settings_.classes};
   }
 
   template <typename T>
@@ -164,139 +195,164 @@
     actions_->emplace_back(std::move(action));
   }
 
-  // ---- quota ledger and split -------------------------------------------------------------------
+  // ---- quotas -----------------------------------------------------------------------------------
 
-  double weight_of(double units) const { return ledger::request_weight(units, s_.most_units); }
+  double request_weight(double units) const { return ledger::request_weight(units, settings_.most_units); }
 
-  // How far a store may go below nothing: settled differences may be as large as it is.
-  double debt_of(const PlanSettings& plan) const {
-    return -(s_.settles ? std::max(s_.most_units, plan.burst) : s_.most_units);
+  // Returns the lowest level of a bucket, 0 or less: differences settled afterwards may be as large as the
+  // burst.
+  double min_tokens(const PlanSettings& plan) const {
+    return -(settings_.settles ? std::max(settings_.most_units, plan.burst) : settings_.most_units);
   }
 
-  void open_account(Account& a, const Request& request) {
-    const auto* const before = a.plan;
-    if (before && s_.guarded) return;  // by its first plan, until it is forgotten
-    if (before) fill(a);
+  // Sets up the account for the request's plan: at the customer's first request, or when its plan changes.
+  void open_account(Account& account, const Request& request) {
+    const auto* const before = account.plan;
+    if (before && settings_.guarded) return;  // keeps its first plan until it is erased
+    if (before) refill(account);
     for (const auto& plan : plans_) {
-      if (plan.name == request.plan) a.plan = &plan;
+      if (plan.name == request.plan) account.plan = &plan;
     }
-    if (a.plan == before) return;  // a plan that the settings do not name has no quota: refused
-    a.hash = ledger::hash_of(request.customer);
-    a.first = std::clamp(request.first, 0, s_.gateways - 1);
-    a.spread = std::clamp(request.spread, 1, s_.gateways);
-    if (!s_.guarded && s_.dedicated_leaders == 0)
-      a.shards = ledger::shard_count(a.plan->rate, a.plan->burst, s_.most_units,
-                                     ledger::kMessageShare * s_.peer_messages_per_s, a.spread);
-    a.shard = s_.index % a.shards;
-    if (before) return ledger::go_by_plan(a);
-    a.refilled_at = started_at_;
-    if (s_.guarded) return;
-    a.tokens = a.confirmed_tokens = a.reported_allowance = a.plan->burst;  // until a keeper tells more
-    // At first D splits evenly, and its share may be spent while the question is out; but not before the
-    // store has filled again from what an earlier life of this gateway may have spent.
-    const double refilled = a.plan->rate > 0 ? a.plan->burst / a.plan->rate * kSecond : 0;
-    if (static_cast<double>(now_ - started_at_) >= refilled) a.answered_at = now_;
-    fill(a);
-    if (s_.dedicated_leaders > 0) books_->meet(a, 2 * s_.most_units, time());
-  }
-
-  // A gateway that hears none of the others spends its even share alone.
-  bool alone() const { return leader_selection().isolated(time()); }
+    if (account.plan == before) return;  // a plan that the settings do not name has no quota: refused
+    account.hash = ledger::hash_of(request.customer);
+    account.first = std::clamp(request.first, 0, settings_.gateways - 1);
+    account.spread = std::clamp(request.spread, 1, settings_.gateways);
+    if (!settings_.guarded && settings_.dedicated_leaders == 0)
+      account.shards =
+          ledger::shard_count(account.plan->rate, account.plan->burst, settings_.most_units,
+                              ledger::kMessageShare * settings_.peer_messages_per_s, account.spread);
+    account.shard = settings_.index % account.shards;
+    if (before) return ledger::change_plan(account);
+    account.refilled_at = started_at_;
+    if (settings_.guarded) return;
+    account.tokens = account.confirmed_tokens = account.reported_allowance =
+        account.plan->burst;  // until the first answer
+    // The own even share of the bucket may be spent before the first answer, but not until the bucket has
+    // refilled from what an earlier generation of this gateway may have spent.
+    const double refilled = account.plan->rate > 0 ? account.plan->burst / account.plan->rate * kSecond : 0;
+    if (static_cast<double>(now_ - started_at_) >= refilled) account.answered_at = now_;
+    refill(account);
+    if (settings_.dedicated_leaders > 0)
+      quota_state_->on_first_request(account, kOptimisticRequests * settings_.most_units, time());
+  }
+
+  // True if no other gateway is heard: this one then spends its even share without leases.
+  bool isolated() const { return leader_selection().isolated(time()); }
 
   ledger::Time time() const { return ledger::Time(now_); }
-  ledger::Transport& transport() const { return *books_->transport; }
-  ledger::LeaderSelection& leader_selection() const { return *books_->leader_selection; }
-  ledger::Ledgers& ledgers() const { return *books_->ledgers; }
+  ledger::Transport& transport() const { return *quota_state_->transport; }
+  ledger::LeaderSelection& leader_selection() const { return *quota_state_->leader_selection; }
+  ledger::Ledgers& ledgers() const { return *quota_state_->ledgers; }
   const ledger::LeaderElection& leader_election() const { return *transport().leader_election(); }
-  bool guarded(const Account& a) const { return s_.guarded && a.plan->rate > 0; }
-  // Every gateway's part of a guarded quota is even: what a customer says of its set is not relied upon.
-  double part(double whole) const { return whole / s_.gateways; }
-
-  // The plan's store fills continuously, so D does too.
-  void fill(Account& a) {
-    const double seconds = static_cast<double>(now_ - a.refilled_at) / kSecond;
-    a.refilled_at = now_;
-    const double part = alone() ? 1.0 / a.spread : 1;
-    const double most = std::max(a.plan->burst * part, std::min(s_.most_units, a.plan->burst));
-    // From here on its even share is all that it has: a request's worth of what was left by the last word,
-    // and somewhere between two requests, so that all together spend at the plan's rate.
-    if (alone() && !a.isolated && a.plan->burst > 0)
-      a.tokens = std::min(a.confirmed_tokens / a.plan->burst * most + drawn(), most);
-    // The others have spent their even shares likewise: its own tells how much of the whole is left.
-    if (a.isolated && !alone() && a.tokens > 0) a.tokens *= a.spread;
-    a.isolated = alone();
-    a.tokens = std::min(most, a.tokens + a.plan->rate * part * seconds);
-    a.confirmed_tokens = std::min(a.confirmed_tokens, a.tokens);
-    a.reported_allowance = std::min(a.plan->burst, a.reported_allowance + a.plan->rate * seconds);
-    // Each gateway keeps the hard ceiling alone: a store of its even part, empty at every start, since an
-    // earlier life may have just spent it.
-    a.ceiling_tokens = std::min(a.plan->ceiling_burst / a.spread,
-                                a.ceiling_tokens + a.plan->ceiling_rate / a.spread * seconds);
-  }
-
-  // Where a plan bounds both, attempts out at once are bounded by even parts: no word of the others is in
-  // time for attempts that last as long as a message.
-  bool has_place(const Account& a) const { return ledger::has_place(a, s_.index, s_.gateways); }
-
-  // An even share of D, while word of it is fresh, is spent at once; else what a keeper has granted.
-  bool has_credit(const Account& a, const Job& job) const {
+  bool guarded(const Account& account) const { return settings_.guarded && account.plan->rate > 0; }
+  // Even share of this gateway in a guarded rate or burst. Of all gateways, since the set that a request
+  // names is not verified.
+  double guarded_share(double whole) const { return whole / settings_.gateways; }
+
+  // Refills the account's buckets for the time since the last refill.
+  void refill(Account& account) {
+    const double seconds = static_cast<double>(now_ - account.refilled_at) / kSecond;
+    account.refilled_at = now_;
+    const double share = isolated() ? 1.0 / account.spread : 1;
+    const double max_tokens =
+        std::max(account.plan->burst * share, std::min(settings_.most_units, account.plan->burst));
+    // Isolated from now on: the even share of the confirmed tokens, and a random fraction of a unit, so that
+    // all gateways together spend at the plan's rate.
+    if (isolated() && !account.isolated && account.plan->burst > 0)
+      account.tokens = std::min(
+          account.confirmed_tokens / account.plan->burst * max_tokens + random_fraction(), max_tokens);
+    // No longer isolated. The others have spent their even shares at about the same rate, so the whole is
+    // estimated from the own share.
+    if (account.isolated && !isolated() && account.tokens > 0) account.tokens *= account.spread;
+    account.isolated = isolated();
+    account.tokens = std::min(max_tokens, account.tokens + account.plan->rate * share * seconds);
+    account.confirmed_tokens = std::min(account.confirmed_tokens, account.tokens);
+    account.reported_allowance =
+        std::min(account.plan->burst, account.reported_allowance + account.plan->rate * seconds);
+    // Each gateway enforces its even share of the hard ceiling by itself. The bucket is empty at every start,
+    // since an earlier generation may have just spent it.
+    account.ceiling_tokens =
+        std::min(account.plan->ceiling_burst / account.spread,
+                 account.ceiling_tokens + account.plan->ceiling_rate / account.spread * seconds);
+  }
+
+  // Returns whether one more attempt is allowed by the bound on open attempts. Plans that bound the rate,
+  // too, have it in even shares, since an attempt may be over before a message about it arrives.
+  bool has_attempt_slot(const Account& account) const {
+    return ledger::has_attempt_slot(account, settings_.index, settings_.gateways);
+  }
+
+  // Returns whether the request may be sent now: by a lease, by the own even share while the last answer is
+  // fresh, or as the mode of the account allows (guarded, isolated, shedding, optimistic lease).
+  bool may_spend(const Account& account, const Job& job) const {
     const double units = job.request.units;
-    if (!has_place(a)) return false;
-    if (guarded(a)) {
-      return a.guarded_quota.covers(a.used_units, units, part(a.plan->rate), part(a.plan->burst), time());
+    if (!has_attempt_slot(account)) return false;
+    if (guarded(account)) {
+      return account.guarded_quota.covers(account.used_units, units, guarded_share(account.plan->rate),
+                                          guarded_share(account.plan->burst), time());
     }
-    if (alone())
-      return a.plan->rate > 0 ? a.tokens >= units : a.open_attempts * a.spread < a.plan->open_limit;
-    if (a.optimistic_lease.shedding(time())) return a.optimistic_lease.admits(job.lot);
-    if (stands(a, units)) return true;
-    if (now_ > a.answered_at + kCreditLife) return false;  // stale, as after a stall
-    if (a.plan->rate > 0) {
-      return static_cast<double>(a.used_units) + units <= static_cast<double>(a.limit) ||
-             a.tokens >= units * a.spread;
+    if (isolated())
+      return account.plan->rate > 0 ? account.tokens >= units
+                                    : account.open_attempts * account.spread < account.plan->open_limit;
+    if (account.optimistic_lease.shedding(time())) return account.optimistic_lease.admits(job.shed_draw);
+    if (has_optimistic_lease(account, units)) return true;
+    if (now_ > account.answered_at + kLeaseTime) return false;  // stale, as after a stall
+    if (account.plan->rate > 0) {
+      return static_cast<double>(account.used_units) + units <= static_cast<double>(account.limit) ||
+             account.tokens >= units * account.spread;
     }
-    return a.plan->open_limit > 0 && a.open_attempts < a.limit;
+    return account.plan->open_limit > 0 && account.open_attempts < account.limit;
   }
-  bool stands(const Account& a, double units) const {
+  // Returns whether an optimistic lease covers `units`.
+  bool has_optimistic_lease(const Account& account, double units) const {
     const bool heard =
-        a.requested_at <= a.answered_at ||
-        (a.unanswered_requests == 0 && now_ - a.requested_at <= ledger::kAnswerTimeout.count());
-    return a.plan->rate > 0 &&
-           a.optimistic_lease.covers(units, a.borrowable, a.tokens, a.plan->burst, heard, time());
-  }
-  // Short of time, a request whose question is not answered yet borrows from its gateway's next share.
-  bool may_borrow(const Account& a, double units) const {
-    if (guarded(a) || a.requested_at <= a.answered_at || !has_place(a))
-      return false;  // its keeper has none left
-    return a.plan->rate > 0 ? std::min(a.borrowable, a.confirmed_tokens) >= units
-                            : a.open_attempts * a.spread < a.plan->open_limit;
-  }
-  // The next share of D, split among those that most likely hold requests too, rounded up to whole requests
-  // where the draw is low. Only what a keeper has told counts, once: what filled since, and what a new life
-  // takes for D, each gateway of a set would lend itself, again and again.
-  double next_share(const Account& a) {
-    const double share = std::max(0.0, a.confirmed_tokens / std::max(1.0, a.spread * kHolding));
-    return share < s_.most_units && drawn() < share / s_.most_units ? s_.most_units : share;
-  }
-
-  void spend(Account& a, double units) {
-    if (away_) act(SpentElsewhere{a.hash, units, false});
-    a.ceiling_tokens -= units;
-    if (guarded(a) &&
-        !a.guarded_quota.spend(a.used_units, units, part(a.plan->rate), part(a.plan->burst), time()))
+        account.requested_at <= account.answered_at ||
+        (account.unanswered_requests == 0 && now_ - account.requested_at <= ledger::kAnswerTimeout.count());
+    return account.plan->rate > 0 &&
+           account.optimistic_lease.covers(units, account.borrowable, account.tokens, account.plan->burst,
+                                           heard, time());
+  }
+  // Returns whether a request whose hold ends before the leader has answered may borrow from this gateway's
+  // next share.
+  bool may_borrow(const Account& account, double units) const {
+    if (guarded(account) || account.requested_at <= account.answered_at || !has_attempt_slot(account))
+      return false;  // answered: no tokens are left
+    return account.plan->rate > 0 ? std::min(account.borrowable, account.confirmed_tokens) >= units
+                                  : account.open_attempts * account.spread < account.plan->open_limit;
+  }
+  // Returns the own share of the tokens if those gateways that most likely hold requests, too, divide them;
+  // a share below one request is rounded up to one at random, in proportion. Of confirmed tokens only:
+  // refill, and what a new generation assumes to be left, would be borrowed by each gateway of the set,
+  // repeatedly.
+  double next_share(const Account& account) {
+    const double share =
+        std::max(0.0, account.confirmed_tokens / std::max(1.0, account.spread * kHoldingShare));
+    return share < settings_.most_units && random_fraction() < share / settings_.most_units
+               ? settings_.most_units
+               : share;
+  }
+
+  // Takes the units of a request that is sent now.
+  void spend(Account& account, double units) {
+    if (active_elsewhere_) act(SpentElsewhere{account.hash, units, false});
+    account.ceiling_tokens -= units;
+    if (guarded(account) &&
+        !account.guarded_quota.spend(account.used_units, units, guarded_share(account.plan->rate),
+                                     guarded_share(account.plan->burst), time()))
       return;
-    a.used_units += std::llround(units);
-    a.reported_allowance -= units;
-    a.tokens = std::max(debt_of(*a.plan), a.tokens - units);
-    a.confirmed_tokens = std::max(debt_of(*a.plan), a.confirmed_tokens - units);
-    if (a.used_units <= a.limit) return;
-    if (a.isolated) {  // its even share is its own: nobody counts it again after the heal
-      a.limit = a.used_units;
-      ++a.leader_epoch;
+    account.used_units += std::llround(units);
+    account.reported_allowance -= units;
+    account.tokens = std::max(min_tokens(*account.plan), account.tokens - units);
+    account.confirmed_tokens = std::max(min_tokens(*account.plan), account.confirmed_tokens - units);
+    if (account.used_units <= account.limit) return;
+    if (account.isolated) {  // its own even share: no leader counts it later
+      account.limit = account.used_units;
+      ++account.leader_epoch;
       return;
     }
-    note(a);  // it was not granted: the keeper must hear of it
-    a.borrowable -= units;
-    a.optimistic_lease.spend(a.borrowable, time());
+    mark_changed(account);  // beyond the lease: to be reported to the leader
+    account.borrowable -= units;
+    account.optimistic_lease.spend(account.borrowable, time());
   }
 
   // ---- held requests ----------------------------------------------------------------------------
@@ -304,95 +360,102 @@
   void on(const Request& request) {
     Job job;
     job.request = request;
-    job.klass = &s_.classes.front();
-    for (const auto& c : s_.classes) {
+    job.klass = &settings_.classes.front();
+    for (const auto& c : settings_.classes) {
       if (c.name == request.klass) job.klass = &c;
     }
     job.arrived = now_;
-    if (s_.dedicated_leaders > 0) job.lot = drawn();
-    job.goal = job.deadline = now_ + kUploadMost;
-    if (!request.uploading) begin(job);
-    const auto hold = static_cast<Nanos>(kHoldOfAim * static_cast<double>(job.klass->aim));
-    job.hold_until = std::min(now_ + std::min(kHoldBound, hold), job.goal);
+    if (settings_.dedicated_leaders > 0) job.shed_draw = random_fraction();
+    job.aim_end = job.deadline = now_ + kMaxUploadTime;
+    if (!request.uploading) set_deadlines(job);
+    const auto hold = static_cast<Nanos>(kHoldAimShare * static_cast<double>(job.klass->aim));
+    job.hold_until = std::min(now_ + std::min(kMaxHold, hold), job.aim_end);
     job.account = ledger::hash_of(request.customer);
-    auto& a = accounts_[job.account];
-    if (!a.plan || a.plan->name != request.plan) open_account(a, request);
+    auto& account = accounts_[job.account];
+    if (!account.plan || account.plan->name != request.plan) open_account(account, request);
     auto [at, fresh] = jobs_.try_emplace(request.id, std::move(job));
     if (!fresh) return;
-    // Past its aim a request may earn nothing; a credit is better kept for one that can.
-    const bool too_late = now_ >= at->second.goal && !late_pays(at->second);
-    at->second.admitted = request.budget <= kAnswerMargin || too_late;  // it is never in the queue
+    // Past its aim a request may earn nothing: the lease is left to those that can.
+    const bool too_late = now_ >= at->second.aim_end && !late_answer_pays(at->second);
+    at->second.admitted = request.budget <= kAnswerMargin || too_late;  // never held
     if (at->second.admitted) return finish(at->second);
-    held_.push_back(request.id);
-    a.held_requests += 1;
-    a.held_weight += weight_of(request.units);
-    a.held_units += request.units;
-    a.hold_until = std::max(a.hold_until, std::min(at->second.hold_until, told_hold(at->second)));
-    if (a.held_requests == 1 && !pressed_) release(at->second);
-    if (a.held_requests > 0) {
-      note(a);
-      seek(a);
+    held_requests_.push_back(request.id);
+    account.held_requests += 1;
+    account.held_weight += request_weight(request.units);
+    account.held_units += request.units;
+    account.hold_until =
+        std::max(account.hold_until, std::min(at->second.hold_until, exhausted_hold_end(at->second)));
+    if (account.held_requests == 1 && !servers_full_) try_release(at->second);
+    if (account.held_requests > 0) {
+      mark_changed(account);
+      request_lease(account);
     }
-    if (at->second.admitted || at->second.done) held_.pop_back();
+    if (at->second.admitted || at->second.done) held_requests_.pop_back();
   }
 
-  // Its last byte has come: its time begins.
-  void begin(Job& job) {
+  // Sets the times of a request whose last byte has come: its budget counts from now.
+  void set_deadlines(Job& job) {
     job.deadline = now_ + job.request.budget;
     const auto age = age_of(job.request, *job.klass);
-    job.goal = std::min(now_ + job.klass->aim - age, job.deadline - kAnswerMargin);
+    job.aim_end = std::min(now_ + job.klass->aim - age, job.deadline - kAnswerMargin);
   }
   void on(const Uploaded& uploaded) {
-    if (const auto at = jobs_.find(uploaded.request); at != jobs_.end()) begin(at->second);
+    if (const auto at = jobs_.find(uploaded.request); at != jobs_.end()) set_deadlines(at->second);
   }
 
-  // A later try's budget tells its age, and the aim counts from the first.
+  // Returns the time since the client's first try, from which the aim counts. A later try's budget is the
+  // rest of the client's patience.
   Nanos age_of(const Request& request, const ClassSettings& klass) {
     if (pool::later_try(budgets_[klass.name], request.budget / kMs))
       return std::max<Nanos>(0, klass.give_up - request.budget);
-    // A repeat with a first try's budget is at least one hold and one wait old.
-    return request.repeat ? static_cast<Nanos>(kRepeatAge * static_cast<double>(klass.aim)) : 0;
+    // A repeat with the budget of a first try: at least one hold and one client's wait have passed.
+    return request.repeat ? static_cast<Nanos>(kRepeatAgeAimShare * static_cast<double>(klass.aim)) : 0;
   }
 
-  // Once its keeper has answered, a request hopes for the next shares only so long: refused sooner, its
-  // client comes again within the aim.
-  Nanos hold_of(const Job& job, const Account& a) const {
-    if (a.optimistic_lease.shedding(time())) return job.arrived;  // no word will come in time
-    return a.requested_at > a.answered_at ? job.hold_until : std::min(job.hold_until, told_hold(job));
+  // Returns when a held request is refused. Sooner once the leader has answered, so that the client's retry
+  // still meets the aim.
+  Nanos hold_end(const Job& job, const Account& account) const {
+    if (account.optimistic_lease.shedding(time())) return job.arrived;  // at once: no lease will come
+    return account.requested_at > account.answered_at ? job.hold_until
+                                                      : std::min(job.hold_until, exhausted_hold_end(job));
   }
-  static Nanos told_hold(const Job& job) {
-    return job.arrived + static_cast<Nanos>(kHoldTold * static_cast<double>(job.klass->aim));
+  static Nanos exhausted_hold_end(const Job& job) {
+    return job.arrived + static_cast<Nanos>(kExhaustedHoldAimShare * static_cast<double>(job.klass->aim));
   }
 
-  // True if the held job has left the queue.
-  bool release(Job& job) {
-    auto& a = accounts_[job.account];
-    if (a.plan) fill(a);
+  // Sends, answers or keeps holding a request. Returns true if it is no longer held.
+  bool try_release(Job& job) {
+    auto& account = accounts_[job.account];
+    if (account.plan) refill(account);
     const double units = job.request.units;
-    const bool room = a.plan && (a.plan->ceiling_rate <= 0 || a.ceiling_tokens >= units);
-    const bool credit = room && has_credit(a, job);
-    // Servers are only looked through for what could go: at full size that is most of the CPU.
-    const auto hold = hold_of(job, a);
-    const int server = credit || (room && now_ >= hold) ? choose(job) : -1;
-    pressed_ = pressed_ || (credit && server < 0);
-    if (server >= 0 && (credit || may_borrow(a, units))) {
-      spend(a, units);
-      leave_queue(job, a);
+    const bool below_ceiling =
+        account.plan && (account.plan->ceiling_rate <= 0 || account.ceiling_tokens >= units);
+    const bool may_send = below_ceiling && may_spend(account, job);
+    // The search for a server takes most of the CPU time in a large fleet, so only requests that could be
+    // sent start one.
+    const auto hold_until = hold_end(job, account);
+    const int server = may_send || (below_ceiling && now_ >= hold_until) ? choose_server(job) : -1;
+    servers_full_ = servers_full_ || (may_send && server < 0);
+    if (server >= 0 && (may_send || may_borrow(account, units))) {
+      spend(account, units);
+      end_hold(job, account);
       send(job, server);
       return true;
     }
-    const auto wait = static_cast<Nanos>(kQueueOfAim * static_cast<double>(job.klass->aim));
-    const auto last = credit || (a.plan && a.plan->rate <= 0) ? std::min(job.goal, job.arrived + wait) : hold;
-    if (now_ < last) return false;
-    leave_queue(job, a);
-    if (!credit && a.optimistic_lease.shedding(time())) {
-      a.optimistic_lease.record_shed(units, time());
-      note(a);
+    const auto queue_time = static_cast<Nanos>(kQueueAimShare * static_cast<double>(job.klass->aim));
+    const auto give_up_at = may_send || (account.plan && account.plan->rate <= 0)
+                                ? std::min(job.aim_end, job.arrived + queue_time)
+                                : hold_until;
+    if (now_ < give_up_at) return false;
+    end_hold(job, account);
+    if (!may_send && account.optimistic_lease.shedding(time())) {
+      account.optimistic_lease.record_shed(units, time());
+      mark_changed(account);
     }
-    // Where a plan earns more beyond its quota than it costs, idle servers take what would be refused.
-    if (server >= 0 && idle_ && room && a.plan->over_worth > a.plan->over_cost) {
-      a.ceiling_tokens -= units;
-      job.beyond = true;
+    // Idle servers take requests beyond the quota if the plan earns more by them than they cost.
+    if (server >= 0 && servers_idle_ && below_ceiling && account.plan->over_worth > account.plan->over_cost) {
+      account.ceiling_tokens -= units;
+      job.beyond_quota = true;
       send(job, server);
     } else {
       finish(job);
@@ -400,59 +463,64 @@
     return true;
   }
 
-  void leave_queue(Job& job, Account& a) {
+  // Takes a request off the held ones of its account.
+  void end_hold(Job& job, Account& account) {
     job.admitted = true;
-    a.held_requests -= 1;
-    a.held_weight = a.held_requests > 0 ? std::max(0.0, a.held_weight - weight_of(job.request.units)) : 0;
-    a.held_units = a.held_requests > 0 ? a.held_units - job.request.units : 0;
-    a.requested_units = std::min(a.requested_units, a.held_units);
-    if (a.limit > a.used_units) note(a);  // what it will not use goes back
+    account.held_requests -= 1;
+    account.held_weight = account.held_requests > 0
+                              ? std::max(0.0, account.held_weight - request_weight(job.request.units))
+                              : 0;
+    account.held_units = account.held_requests > 0 ? account.held_units - job.request.units : 0;
+    account.requested_units = std::min(account.requested_units, account.held_units);
+    if (account.limit > account.used_units) mark_changed(account);  // the rest of the lease is returned
   }
 
-  // Under pressure worth, for a class's aim as a measure of its work, decides who gets a server first.
-  double worth_of(const Job& job) {
+  // Priority of a held request while servers are full: worth per time of work, which the aim stands for.
+  double priority_of(const Job& job) {
     const auto* plan = accounts_[job.account].plan;
     return job.klass->worth * (plan ? plan->price : 1) / static_cast<double>(job.klass->aim);
   }
 
+  // Tries all held requests, by priority if servers are full.
   void release_held() {
-    std::erase_if(held_, [&](const auto& id) { return !jobs_.count(id) || jobs_.at(id).admitted; });
-    if (pressed_) {
-      std::stable_sort(held_.begin(), held_.end(), [&](const auto& a, const auto& b) {
-        return worth_of(jobs_.at(a)) > worth_of(jobs_.at(b));
-      });
+    std::erase_if(held_requests_, [&](const auto& id) { return !jobs_.count(id) || jobs_.at(id).admitted; });
+    if (servers_full_) {
+      std::stable_sort(held_requests_.begin(), held_requests_.end(),
+                       [&](const auto& left, const auto& right) {
+                         return priority_of(jobs_.at(left)) > priority_of(jobs_.at(right));
+                       });
     }
-    pressed_ = freed_ = false;
-    std::vector<std::string> left;
-    for (auto& id : held_) {
-      if (!release(jobs_.at(id))) left.push_back(std::move(id));
+    servers_full_ = lease_changed_ = false;
+    std::vector<std::string> still_held;
+    for (auto& id : held_requests_) {
+      if (!try_release(jobs_.at(id))) still_held.push_back(std::move(id));
     }
-    held_ = std::move(left);
-    sweep();
+    held_requests_ = std::move(still_held);
+    erase_finished();
   }
 
   // ---- peer messages ----------------------------------------------------------------------------
 
   void on(const PeerMessage& message) {
-    const auto letter = transport().receive(message.from, message.bytes, time());
-    if (!letter) return;
+    const auto received = transport().receive(message.from, message.bytes, time());
+    if (!received) return;
     leader_selection().record_message(message.from, time());
-    for (const auto& entry : letter->entries) {
+    for (const auto& entry : received->entries) {
       if (entry.plan >= plans_.size() || !ledger::plausible(entry)) return;
-      std::visit([&](const auto& said) { handle(message.from, entry, said, letter->generation); },
+      std::visit([&](const auto& content) { handle(message.from, entry, content, received->generation); },
                  entry.message);
     }
   }
   void handle(int from, const ledger::Entry& entry, const ledger::Lease& lease, std::uint32_t) {
-    const auto a = accounts_.find(entry.customer);
-    if (lease.generation != life_ || a == accounts_.end()) return;
-    // Of a replica that was asked while nobody was heard. Its leader can be asked, at once.
-    if (leader_selection().is_stale_answer(a->second, from, keeper_of(a->second)))
-      return agenda_.schedule(entry.customer, time());
-    granted(a->second, static_cast<std::int64_t>(lease.limit), lease.level,
-            static_cast<std::uint32_t>(lease.number),
-            ledger::kPauseStep * static_cast<int>(std::min<std::uint64_t>(lease.pause, 255)),
-            lease.open == 1);
+    const auto account = accounts_.find(entry.customer);
+    if (lease.generation != generation_ || account == accounts_.end()) return;
+    // From a replica that was asked while no member was heard. Now the leader can be asked, at once.
+    if (leader_selection().is_stale_answer(account->second, from, leader_of(account->second)))
+      return due_queue_.schedule(entry.customer, time());
+    apply_lease(account->second, static_cast<std::int64_t>(lease.limit), lease.level,
+                static_cast<std::uint32_t>(lease.number),
+                ledger::kPauseStep * static_cast<int>(std::min(lease.pause, kMaxPauseSteps)),
+                lease.open == 1);
   }
   void handle(int from, const ledger::Entry& entry, const ledger::Transfer& transfer, std::uint32_t) {
     ledgers().receive_transfer(open_ledger(entry, 1), from, leader_election().generations_seen(from),
@@ -460,251 +528,283 @@
   }
   void handle(int, const ledger::Entry& entry, const ledger::ShedShare& shed, std::uint32_t) {
     const auto share = static_cast<int>(std::min<std::uint64_t>(shed.share, ledger::kWholeShare));
-    books_->throttle({entry.plan, entry.customer, share}, time());
+    quota_state_->apply_shed_notice({entry.plan, entry.customer, share}, time());
   }
 
-  // ---- keepers ----------------------------------------------------------------------------------
+  // ---- quota leaders ----------------------------------------------------------------------------
 
-  // The split of a customer's D is made by one gateway for all, its keeper, named by its hash: it is told
-  // what is held and used, splits D among those that hold, and grants the credits. For all to hear all, as
-  // the paper has it, is more than peers take in; and over many gateways an even share is under one credit
-  // and would be stranded. It is of the customer's own set, so a part of its requests needs no mail; the next
-  // of the set stand in where it does not answer. Figures are totals of a life: loss and repeats mend
-  // themselves.
+  // A customer's tokens are split by one gateway for all, its quota leader, which follows from the customer's
+  // hash: the gateways report what they hold and use, and the leader grants leases to those that hold
+  // requests. With all gateways informed of all demand, as in the paper, messages would exceed what peers
+  // take in; and over many gateways an even share would be less than one request and lie unused. The leader
+  // is of the customer's own set, so a part of the requests needs no messages; replicas of the set take its
+  // place when it does not answer. Counts in messages are totals of a generation, so lost and repeated
+  // messages need no repair.
 
-  int keeper_of(const Account& a) const {
-    if (s_.guarded) return leader_election().leader(a.hash);
+  // Returns the member to ask about the customer; -1: none can be reached.
+  int leader_of(const Account& account) const {
+    if (settings_.guarded) return leader_election().leader(account.hash);
     return leader_selection().leader_for(
-        a, [this](int member) { return transport().dedicated_leader_failed(member, time()); }, time());
-  }
-
-  void note(Account& a) {
-    if (!a.plan) return;
-    a.changed = true;
-    agenda_.schedule(a.hash, time());
-  }
-
-  // Asks at once for what is newly held; again for what nobody answered, and each subperiod. Returns when to
-  // look again.
-  Nanos seek(Account& a) {
-    const bool waits = ledger::awaits_answer(a);
-    const bool gathers = a.held_requests == 0 && !waits && a.optimistic_lease.only_reports(time());
-    if (gathers && a.optimistic_lease.due() > time()) return a.optimistic_lease.due().count();
-    const bool report = gathers && !a.optimistic_lease.needs_renewal(a.borrowable, time());
-    int keeper = keeper_of(a);
-    const bool none = a.confirmed_tokens < a.shards;  // its part had none left
-    const ledger::Time spent(keeper != s_.index && none ? a.request_pause : 0);
-    const auto next = leader_selection().next_request_at(a, keeper, spent, time());
+        account, [this](int member) { return transport().dedicated_leader_failed(member, time()); }, time());
+  }
+
+  // Schedules a request or report about the account.
+  void mark_changed(Account& account) {
+    if (!account.plan) return;
+    account.changed = true;
+    due_queue_.schedule(account.hash, time());
+  }
+
+  // Requests a lease or sends a report, if one is due: at once for newly held requests, after a back-off for
+  // an unanswered request, else each subperiod. Returns when to call it again.
+  Nanos request_lease(Account& account) {
+    const bool awaiting_answer = ledger::awaits_answer(account);
+    const bool only_reports =
+        account.held_requests == 0 && !awaiting_answer && account.optimistic_lease.only_reports(time());
+    if (only_reports && account.optimistic_lease.due() > time())
+      return account.optimistic_lease.due().count();
+    const bool report = only_reports && !account.optimistic_lease.needs_renewal(account.borrowable, time());
+    int leader = leader_of(account);
+    const bool exhausted = account.confirmed_tokens < account.shards;  // the shard had no tokens left
+    const ledger::Time pause(leader != settings_.index && exhausted ? account.request_pause : 0);
+    const auto next = leader_selection().next_request_at(account, leader, pause, time());
     if (!report && time() < next) return std::min(next.count(), now_ + kSubperiod);
     if (leader_selection().start_request(
-            a, keeper, [this] { return drawn(); }, time()))
-      keeper = keeper_of(a);
-    if (a.held_requests == 0 && !a.changed && !waits) return now_;
-    fill(a);
-    if (none && !waits && a.shards > 1 && a.used_units >= a.limit) {  // another part may have some
-      a.shard = (a.shard + 1) % a.shards;
-      keeper = keeper_of(a);
+            account, leader, [this] { return random_fraction(); }, time()))
+      leader = leader_of(account);
+    if (account.held_requests == 0 && !account.changed && !awaiting_answer) return now_;
+    refill(account);
+    if (exhausted && !awaiting_answer && account.shards > 1 &&
+        account.used_units >= account.limit) {  // another shard may have tokens
+      account.shard = (account.shard + 1) % account.shards;
+      leader = leader_of(account);
     }
-    if (keeper != std::exchange(a.leader, keeper)) ++a.leader_epoch;
-    a.changed = a.plan->rate <= 0 && a.open_attempts > 0;  // attempts out are a lease: told of while it lasts
-    if (!report) a.requested_at = now_;
-    a.requested_units = a.held_units;
-    if (keeper < 0) return now_;
-    const auto plan = static_cast<std::uint32_t>(a.plan - plans_.data());
-    const auto entry = ledger::entry_of(a, plan, guarded(a), report, time());
-    if (keeper != s_.index && !report) leader_selection().record_request(keeper);
-    if (keeper != s_.index || alone())
-      transport().enqueue(keeper, entry);
+    if (leader != std::exchange(account.leader, leader)) ++account.leader_epoch;
+    account.changed =
+        account.plan->rate <= 0 && account.open_attempts > 0;  // attempts out are reported while they last
+    if (!report) account.requested_at = now_;
+    account.requested_units = account.held_units;
+    if (leader < 0) return now_;
+    const auto plan = static_cast<std::uint32_t>(account.plan - plans_.data());
+    const auto entry = ledger::make_lease_request(account, plan, guarded(account), report, time());
+    if (leader != settings_.index && !report) leader_selection().record_request(leader);
+    if (leader != settings_.index || isolated())
+      transport().enqueue(leader, entry);
     else
-      handle(keeper, entry, std::get<ledger::LeaseRequest>(entry.message), life_);
+      handle(leader, entry, std::get<ledger::LeaseRequest>(entry.message), generation_);
     return now_;
   }
 
-  Ledger& open_ledger(const ledger::Entry& entry, std::uint64_t of_parts) {
+  // Returns the ledger of the entry's customer, a new one if there is none. `shard_count`: shards of the
+  // ledger.
+  Ledger& open_ledger(const ledger::Entry& entry, std::uint64_t shard_count) {
     const auto& plan = plans_[entry.plan];
-    const auto parts = static_cast<std::uint32_t>(of_parts);
-    return ledgers().open({entry.customer, entry.plan, plan.rate / parts, plan.burst / parts, debt_of(plan),
-                           0, parts, s_.dedicated_leaders > 0},
+    const auto shards = static_cast<std::uint32_t>(shard_count);
+    return ledgers().open({entry.customer, entry.plan, plan.rate / shards, plan.burst / shards,
+                           min_tokens(plan), 0, shards, settings_.dedicated_leaders > 0},
                           time());
   }
 
-  // As keeper: what `from` used beyond its limit was borrowed, what it no longer wants comes back.
-  void handle(int from, const ledger::Entry& entry, const ledger::LeaseRequest& request, std::uint32_t life) {
-    const auto ask = ledger::ask_of(request, life, s_.guarded);
-    if (s_.guarded && (ends_ || !ledgers().has_leadership(entry.customer, time())))
-      return refuse(from, entry, ask);
+  // As leader: a lease request or report of gateway `from`. Units used beyond its limit are taken off the
+  // tokens, and units that it no longer wants are returned to them.
+  void handle(int from, const ledger::Entry& entry, const ledger::LeaseRequest& request,
+              std::uint32_t generation) {
+    const auto demand = ledger::read_demand(request, generation, settings_.guarded);
+    if (settings_.guarded && (shutting_down_ || !ledgers().has_leadership(entry.customer, time())))
+      return send_refusal(from, entry, demand);
     auto& ledger = open_ledger(entry, request.shards);
     if (ledger.plan != entry.plan || ledger.shards != request.shards) return;
     ledgers().fill(ledger, time());
     ledger.requested_at = time();
-    if (from != s_.index && ask.wanted > 0) {
-      const double most = ledger::kMessageShare * s_.peer_messages_per_s;
-      ledger.pacing.record_request({ledger.rate, most, s_.gateways, ledger.claims.size() + 1}, time());
+    if (from != settings_.index && demand.wanted > 0) {
+      const double max_requests_per_s = ledger::kMessageShare * settings_.peer_messages_per_s;
+      ledger.pacing.record_request(
+          {ledger.rate, max_requests_per_s, settings_.gateways, ledger.claims.size() + 1}, time());
     }
-    // What another keeper has granted since is not in this ledger, which filled all the same: where it does
-    // not know all that was asked, the least told level counts.
-    if (!s_.guarded && !ledger.has_current_claim(from, ask)) {
+    // This ledger refilled while another leader granted leases that it does not know of: without a current
+    // claim of the sender, the lowest level that a sender reports counts.
+    if (!settings_.guarded && !ledger.has_current_claim(from, demand)) {
       ledger.tokens = std::min(ledger.tokens, ledger::decode_level(ledger.burst, request.level));
     }
-    if (!ledger.merge(from, ask, time())) return;
-    const bool told = ask.report && (s_.dedicated_leaders == 0 ||
-                                     (ask.share < ledger::kWholeShare) != ledger.load_shedder.active());
-    share_out(ledger, ask.report ? -1 : from, told ? from : -1);
-  }
-
-  // Without the right to keep: the asking gateway may turn to its part.
-  void refuse(int from, const ledger::Entry& entry, const ledger::Demand& ask) {
-    if (from == s_.index) return;
-    const auto used = static_cast<std::uint64_t>(ask.used);
-    transport().enqueue(from, {entry.plan, entry.customer,
-                               ledger::Lease{ask.generation & 0xffffU, used, 0, ask.number, 0, 0}});
-  }
-
-  // `asker` is answered anyway; whoever has only reported, `told`, if it should not go on so.
-  void share_out(Ledger& ledger, int asker, int told = -1) {
+    if (!ledger.merge(from, demand, time())) return;
+    const bool answer_report =
+        demand.report && (settings_.dedicated_leaders == 0 ||
+                          (demand.share < ledger::kWholeShare) != ledger.load_shedder.active());
+    split_ledger(ledger, demand.report ? -1 : from, answer_report ? from : -1);
+  }
+
+  // Answers that this gateway lacks leadership: the sender may use its fallback share.
+  void send_refusal(int from, const ledger::Entry& entry, const ledger::Demand& demand) {
+    if (from == settings_.index) return;
+    const auto used = static_cast<std::uint64_t>(demand.used);
+    transport().enqueue(from,
+                        {entry.plan, entry.customer,
+                         ledger::Lease{demand.generation & kGenerationMask, used, 0, demand.number, 0, 0}});
+  }
+
+  // Splits the ledger's tokens and sends the leases that have changed. `requester` is answered in any case;
+  // `reporter`, which has only sent a report, if its optimistic lease or admitted share is out of date. -1:
+  // none.
+  void split_ledger(Ledger& ledger, int requester, int reporter = -1) {
     ledgers().fill(ledger, time());
     if (!ledgers().has_leadership(ledger.customer, time())) return;
     const auto& plan = plans_[ledger.plan];
-    const ledger::SplitOptions terms{s_.most_units, plan.rate > 0 ? 0 : plan.open_limit, asker};
-    for (const int gateway : ledger::split(ledger, terms, time(), random_)) {
-      if (gateway != asker) grant(ledger, gateway);
+    const ledger::SplitOptions options{settings_.most_units, plan.rate > 0 ? 0 : plan.open_limit, requester};
+    for (const int gateway : ledger::split(ledger, options, time(), random_)) {
+      if (gateway != requester) send_lease(ledger, gateway);
     }
-    if (asker >= 0) grant(ledger, asker);
-    if (s_.guarded || plan.rate <= 0) return;
-    if (s_.dedicated_leaders > 0) {
+    if (requester >= 0) send_lease(ledger, requester);
+    if (settings_.guarded || plan.rate <= 0) return;
+    if (settings_.dedicated_leaders > 0) {
       const auto share = ledger.load_shedder.update(ledger.tokens, ledger.rate, ledger.burst, time());
       if (share) return transport().notify_all({ledger.plan, ledger.customer, *share});
-      if (told >= 0)
-        transport().notify(told, {ledger.plan, ledger.customer, ledger.load_shedder.announced_share()});
+      if (reporter >= 0)
+        transport().notify(reporter, {ledger.plan, ledger.customer, ledger.load_shedder.announced_share()});
       return;
     }
-    const bool all = ledger.low_watermark.update(ledger.tokens, ledger.burst, time());
-    if (!all && told >= 0 && ledger.low_watermark.below(time())) grant(ledger, told);
-    for (auto at = ledger.claims.begin(); all && at != ledger.claims.end(); ++at) {
-      if (at->first != asker) grant(ledger, at->first);
+    const bool became_low = ledger.low_watermark.update(ledger.tokens, ledger.burst, time());
+    if (!became_low && reporter >= 0 && ledger.low_watermark.below(time())) send_lease(ledger, reporter);
+    for (auto at = ledger.claims.begin(); became_low && at != ledger.claims.end(); ++at) {
+      if (at->first != requester) send_lease(ledger, at->first);
     }
   }
 
-  void grant(const Ledger& ledger, int to) {
+  // Sends gateway `to` its lease, or applies it if that is this gateway.
+  void send_lease(const Ledger& ledger, int to) {
     const auto& claim = ledger.claims.at(to);
     const auto level = ledger::encode_level(ledger.burst, ledger.tokens);
-    const auto number = s_.guarded ? claim.number : claim.leader_epoch;
-    const bool open = s_.guarded || (ledger.rate > 0 && !ledger.below_low_watermark(time()));
-    if (to == s_.index)
-      return granted(accounts_[ledger.customer], claim.limit, level, number, ledger::Time(0), open);
-    ledger::Lease lease{claim.generation & 0xffffU, static_cast<std::uint64_t>(claim.limit), level, number};
+    const auto number = settings_.guarded ? claim.number : claim.leader_epoch;
+    const bool open = settings_.guarded || (ledger.rate > 0 && !ledger.below_low_watermark(time()));
+    if (to == settings_.index)
+      return apply_lease(accounts_[ledger.customer], claim.limit, level, number, ledger::Time(0), open);
+    ledger::Lease lease{claim.generation & kGenerationMask, static_cast<std::uint64_t>(claim.limit), level,
+                        number};
     lease.pause = static_cast<std::uint64_t>(ledger.pacing.pause() / ledger::kPauseStep);
     lease.open = open ? 1 : 0;
     transport().enqueue(to, {ledger.plan, ledger.customer, lease});
   }
 
-  // `open`: the keeper has the right, where quotas are guarded; else, its store is far from empty.
-  void granted(Account& a, std::int64_t limit, std::uint64_t level, std::uint32_t number, ledger::Time pause,
-               bool open) {
-    if (!a.plan) return;
-    fill(a);
-    if (guarded(a)) {
-      if (!open) a.guarded_quota.refused(number, time());
-      if (!open) return a.guarded_quota.update_fallback(leader_election(), a.hash, s_.index, time());
-      if (!a.guarded_quota.lease.apply_grant(number, limit, time())) return;
-      a.guarded_quota.no_leader_until = ledger::Time(-1);
-      limit = a.guarded_quota.lease.limit();
-    } else if (number != a.leader_epoch) {
-      return;  // of a keeper that is not asked any more
+  // Applies the leader's answer. `open`: guarded: the leader has leadership; trusting: the bucket is far from
+  // empty.
+  void apply_lease(Account& account, std::int64_t limit, std::uint64_t level, std::uint32_t number,
+                   ledger::Time pause, bool open) {
+    if (!account.plan) return;
+    refill(account);
+    if (guarded(account)) {
+      if (!open) account.guarded_quota.refused(number, time());
+      if (!open)
+        return account.guarded_quota.update_fallback(leader_election(), account.hash, settings_.index,
+                                                     time());
+      if (!account.guarded_quota.lease.apply_grant(number, limit, time())) return;
+      account.guarded_quota.no_leader_until = ledger::Time(-1);
+      limit = account.guarded_quota.lease.limit();
+    } else if (number != account.leader_epoch) {
+      return;  // from a previous leader
     }
-    a.limit = limit;
-    if (a.plan->rate > 0 && a.used_units > limit) note(a);  // spent while it was given back
-    a.answered_at = std::max(now_, a.requested_at);
-    a.last_answered_shard = a.shard;
-    a.request_pause = pause.count();
-    a.tokens = a.confirmed_tokens = ledger::decode_level(a.plan->burst, level);
-    a.borrowable = std::max(next_share(a), open && !s_.guarded ? 2 * s_.most_units : 0);
-    a.optimistic_lease.update(open && !s_.guarded, a.borrowable, time());
-    a.reported_allowance = std::min(a.plan->burst, a.tokens + static_cast<double>(limit - a.used_units));
-    freed_ = true;
-    if (a.held_requests > 0) agenda_.schedule(a.hash, time());
-  }
-
-  // ---- server choice and health -----------------------------------------------------------------
-
+    account.limit = limit;
+    if (account.plan->rate > 0 && account.used_units > limit)
+      mark_changed(account);  // spent while the lease was being returned
+    account.answered_at = std::max(now_, account.requested_at);
+    account.last_answered_shard = account.shard;
+    account.request_pause = pause.count();
+    account.tokens = account.confirmed_tokens = ledger::decode_level(account.plan->burst, level);
+    account.borrowable = std::max(
+        next_share(account), open && !settings_.guarded ? kOptimisticRequests * settings_.most_units : 0);
+    account.optimistic_lease.update(open && !settings_.guarded, account.borrowable, time());
+    account.reported_allowance =
+        std::min(account.plan->burst, account.tokens + static_cast<double>(limit - account.used_units));
+    lease_changed_ = true;
+    if (account.held_requests > 0) due_queue_.schedule(account.hash, time());
+  }
+
+  // ---- server selection and health --------------------------------------------------------------
+
+  // A server whose start time changes has restarted, and is learned anew.
   void on(const ServerList& list) {
-    if (list.scope == ListScope::failed && s_.list_on_request) act(WatchServers{});
+    if (list.scope == ListScope::failed && settings_.list_on_request) act(WatchServers{});
     if (list.scope == ListScope::full || list.scope == ListScope::stored) {
       for (auto& server : servers_) server.entry.state = ServerState::removed;
     }
     for (const auto& entry : list.servers) {
-      if (entry.state == ServerState::removed && !by_id_.contains(entry.id)) continue;
-      const auto [at, fresh] = by_id_.try_emplace(entry.id, -1);
-      if (fresh) at->second = place_for_server();
+      if (entry.state == ServerState::removed && !server_index_.contains(entry.id)) continue;
+      const auto [at, fresh] = server_index_.try_emplace(entry.id, -1);
+      if (fresh) at->second = server_slot();
       auto& server = servers_[static_cast<std::size_t>(at->second)];
       if (fresh || server.entry.started != entry.started) {
         const int open = server.open;
-        server = fresh_;
+        server = new_server_;
         server.open = open;
-        server.cold_tokens = drawn();
+        server.cold_tokens = random_fraction();
       }
       server.entry = entry;
       server.listed = now_;
     }
   }
 
-  // A server that went so long ago that no attempt and no request remembers it leaves its place to a new one.
-  int place_for_server() {
-    const auto old = std::find_if(servers_.begin(), servers_.end(), [&](const Server& s) {
-      return s.entry.state == ServerState::removed && s.open == 0 && now_ - s.listed > kForget;
+  // Returns the index of a slot for a new server: that of a server removed so long ago that no attempt or
+  // request refers to it, or a new one.
+  int server_slot() {
+    const auto unused = std::find_if(servers_.begin(), servers_.end(), [&](const Server& s) {
+      return s.entry.state == ServerState::removed && s.open == 0 && now_ - s.listed > kForgetAfter;
     });
-    if (old == servers_.end()) {
+    if (unused == servers_.end()) {
       servers_.emplace_back();
       return static_cast<int>(servers_.size()) - 1;
     }
-    by_id_.erase(old->entry.id);
-    return static_cast<int>(old - servers_.begin());
+    server_index_.erase(unused->entry.id);
+    return static_cast<int>(unused - servers_.begin());
   }
 
-  // From 0 on, under 1. For a cold server it is where each gateway stands between two attempts: all together
-  // they then send evenly.
-  double drawn() { return static_cast<double>(random_() & 1023U) / 1024; }
+  // Random, from 0 to under 1. As the first tokens of a cold server it spreads the first attempts of all
+  // gateways evenly.
+  double random_fraction() { return static_cast<double>(random_() & 1023U) / 1024; }
 
   double warmth(const Server& server) const { return cold_start_.warmth(server, now_); }
 
-  bool allowed(const Server& server) const {
+  // Returns whether the server's state, ejection, cold tokens and window allow one more attempt.
+  bool can_take_attempt(const Server& server) const {
     if (server.entry.state != ServerState::running) return false;
     if (server.ejected_until > 0 && (now_ < server.ejected_until || server.open > 0)) return false;
     if (warmth(server) < 1 && server.cold_tokens < 1) return false;
     return server.open < std::max(1.0, server.window);
   }
 
-  // Until when it may go out again, where one of its attempts may have run.
-  static Nanos repeats_end(const Job& job) {
+  // Returns until when the request may be sent again, given which of its attempts may have run.
+  static Nanos repeat_deadline(const Job& job) {
     Nanos end = pool::kAnyTime;
     for (const auto& attempt : job.attempts) {
-      if (attempt.may_have_run) end = std::min(end, pool::repeats_end(*job.klass, attempt.sent) - kTick);
+      if (attempt.may_have_run) end = std::min(end, pool::repeats_end(*job.klass, attempt.sent_at) - kTick);
     }
     return end;
   }
-  bool in_group(const Job& job, const Server& server) const {
+  // Returns whether the server would drop a repeat of every attempt that may have run.
+  bool may_repeat_at(const Job& job, const Server& server) const {
     return std::all_of(job.attempts.begin(), job.attempts.end(), [&](const Attempt& attempt) {
       const auto& ran = servers_[static_cast<std::size_t>(attempt.server)].entry;
       return !attempt.may_have_run || pool::drops_repeat(*job.klass, ran, server.entry);
     });
   }
 
-  // Least expected time: own attempts out, times the mean answer time there.
-  int choose(const Job& job) {
+  // Returns the index of the server with the least expected answer time (own attempts out, times its mean
+  // answer time), or -1.
+  int choose_server(const Job& job) {
     int best = -1;
     double best_cost = 0;
-    const auto [windows, open] = windows_.in_use(servers_);  // under pressure they hold back the sum, too
-    idle_ = open < kIdle * windows;
-    if (open > windows || now_ >= repeats_end(job)) return -1;
+    const auto [windows, open] =
+        windows_.in_use(servers_);  // the sum of the windows bounds all open attempts, too
+    servers_idle_ = open < kIdleUse * windows;
+    if (open > windows || now_ >= repeat_deadline(job)) return -1;
     for (std::size_t i = 0; i < servers_.size(); ++i) {
       const auto& server = servers_[i];
-      if (!allowed(server) || !in_group(job, server)) continue;
-      double cost = times_.of(server) * (server.open + 1) * (warmth(server) < 1 ? kColdTurn : 1);
-      if (now_ - server.last_ok_sent > s_.connection_idle) cost *= 1 + kOpening * s_.connection_price;
-      if (server.entry.zone != s_.zone) cost *= kOtherZone;
-      cost *= 1 + 0.05 * drawn();
+      if (!can_take_attempt(server) || !may_repeat_at(job, server)) continue;
+      double cost =
+          answer_times_.of(server) * (server.open + 1) * (warmth(server) < 1 ? kColdServerCostFactor : 1);
+      if (now_ - server.last_ok_sent > settings_.connection_idle)
+        cost *= 1 + kConnectionCostFactor * settings_.connection_price;
+      if (server.entry.zone != settings_.zone) cost *= kOtherZoneCostFactor;
+      cost *= 1 + kCostJitter * random_fraction();
       for (const auto& attempt : job.attempts) {
-        if (attempt.server == static_cast<int>(i)) cost *= 100;
+        if (attempt.server == static_cast<int>(i)) cost *= kTriedServerCostFactor;
       }
       if (best < 0 || cost < best_cost) {
         best = static_cast<int>(i);
@@ -714,73 +814,85 @@
     return best;
   }
 
-  // True if the server has answered nothing sent since: it, not the request, is to blame.
-  bool suspect(const Attempt& attempt) const {
-    return servers_[static_cast<std::size_t>(attempt.server)].last_ok_sent <= attempt.sent;
+  // Returns whether the server has answered nothing that was sent after the attempt: then the server, not the
+  // request, may be at fault.
+  bool is_suspect(const Attempt& attempt) const {
+    return servers_[static_cast<std::size_t>(attempt.server)].last_ok_sent <= attempt.sent_at;
   }
 
-  void judge(Server& server, const Job& job, const Attempt& attempt, const Outcome& outcome) {
+  // Learns from an outcome: answer times, windows, consecutive failures and ejection.
+  void record_outcome(Server& server, const Job& job, const Attempt& attempt, const Outcome& outcome) {
     const auto aim = static_cast<double>(job.klass->aim);
     const auto took = static_cast<double>(outcome.took);
     const bool unanswered = outcome.result == Result::timeout || outcome.result == Result::cancelled;
-    const bool timed = outcome.result == Result::ok || (unanswered && took > kTimeoutMin * aim);
-    if (timed) times_.learn(server, took / aim);
+    const bool timed = outcome.result == Result::ok || (unanswered && took > kMinTimeoutAimShare * aim);
+    if (timed) answer_times_.learn(server, took / aim);
     if (outcome.result == Result::ok) {
-      served_recently_ += 1;
-      server.last_ok_sent = std::max(server.last_ok_sent, attempt.sent);
+      recent_answers_ += 1;
+      server.last_ok_sent = std::max(server.last_ok_sent, attempt.sent_at);
       server.strikes = 0;
       server.ejected_until = server.ejected_for = 0;
     }
-    const bool late = took > kBad * aim && (outcome.result == Result::ok || (unanswered && !attempt.cut));
+    const bool late = took > kLateAnswerAimShare * aim &&
+                      (outcome.result == Result::ok || (unanswered && !attempt.cancelled));
     if (windows_.together()) {
-      if (timed && !times_.slow(server)) windows_.scale(servers_, load_.change(took / aim));
-    } else if (outcome.result == Result::ok && took < kGood * aim) {
+      if (timed && !answer_times_.slow(server)) windows_.scale(servers_, load_.change(took / aim));
+    } else if (outcome.result == Result::ok && took < kGoodAnswerAimShare * aim) {
       windows_.open(server);
-    } else if ((outcome.result == Result::full || late) && now_ - server.cut_at >= kCutEvery) {
+    } else if ((outcome.result == Result::full || late) && now_ - server.cut_at >= kMinWindowCutInterval) {
       windows_.close(server);
       server.cut_at = now_;
     }
     if (outcome.result == Result::reset || outcome.result == Result::connect_failed ||
-        (unanswered && suspect(attempt) && took > kTimeoutMin * aim)) {
-      if (++server.strikes < kStrikes && server.ejected_until == 0) return;
-      server.ejected_for = std::min(kEjectMax, server.ejected_for > 0 ? server.ejected_for * 2 : kEject);
+        (unanswered && is_suspect(attempt) && took > kMinTimeoutAimShare * aim)) {
+      if (++server.strikes < kFailuresToEject && server.ejected_until == 0) return;
+      server.ejected_for =
+          std::min(kMaxEjection, server.ejected_for > 0 ? server.ejected_for * 2 : kFirstEjection);
       server.ejected_until = now_ + server.ejected_for;
       act(Log{"ejected " + server.entry.id});
     }
   }
 
-  void refill_cold(Nanos passed) {
-    served_recently_ *= std::exp(-static_cast<double>(passed) / kRateWindow);
-    const double per_s = served_recently_ * kSecond / kRateWindow;
-    cold_start_.refill(servers_, per_s, passed, now_, [this] { return drawn(); });
+  // `passed`: ns since the last call.
+  void refill_cold_tokens(Nanos passed) {
+    recent_answers_ *= std::exp(-static_cast<double>(passed) / kAnswerRateWindow);
+    const double per_s = recent_answers_ * kSecond / kAnswerRateWindow;
+    cold_start_.refill(servers_, per_s, passed, now_, [this] { return random_fraction(); });
   }
 
   // ---- attempts and answers ---------------------------------------------------------------------
 
-  bool late_pays(const Job& job) const { return job.klass->late_share > 0; }
-  Nanos end_of(const Job& job) const { return late_pays(job) ? job.deadline - kAnswerMargin : job.goal; }
+  // Returns whether an answer past the aim earns anything.
+  bool late_answer_pays(const Job& job) const { return job.klass->late_share > 0; }
+  // Returns when the request gets its final answer at the latest.
+  Nanos end_of(const Job& job) const {
+    return late_answer_pays(job) ? job.deadline - kAnswerMargin : job.aim_end;
+  }
 
   void send(Job& job, int server) {
     auto& target = servers_[static_cast<std::size_t>(server)];
     const auto aim = static_cast<double>(job.klass->aim);
-    const auto wait = aim * std::clamp(3 * times_.of(target), kTimeoutMin, kTimeoutMax);
-    job.next_try = now_ + static_cast<Nanos>(wait);
-    const auto patience = end_of(job) - now_, whole_by = repeats_end(job);
+    const auto retry_after = aim * std::clamp(kTimeoutPerMeanAnswer * answer_times_.of(target),
+                                              kMinTimeoutAimShare, kMaxTimeoutAimShare);
+    job.retry_at = now_ + static_cast<Nanos>(retry_after);
+    const auto timeout = end_of(job) - now_, send_deadline = repeat_deadline(job);
     job.attempts.push_back({server, now_, true, true, false});
-    job.out += 1;
+    job.attempts_out += 1;
     target.open += 1;
     target.cold_tokens -= 1;
-    if (job.attempts.size() == 1) hedge_tokens_ = std::min(20.0, hedge_tokens_ + kHedgeShare);
+    if (job.attempts.size() == 1)
+      hedge_tokens_ = std::min(kMaxHedgeTokens, hedge_tokens_ + kHedgeTokensPerRequest);
     accounts_[job.account].open_attempts += 1;
-    act(Send{job.request.id, target.entry.id, std::max<Nanos>(patience, kMs),
-             whole_by == pool::kAnyTime ? 0 : whole_by});
+    act(Send{job.request.id, target.entry.id, std::max<Nanos>(timeout, kMs),
+             send_deadline == pool::kAnyTime ? 0 : send_deadline});
   }
 
+  // Returns whether the class and the attempts so far allow one more attempt.
   bool may_repeat(const Job& job) const {
-    if (static_cast<int>(job.attempts.size()) >= s_.max_attempts) return false;
+    if (static_cast<int>(job.attempts.size()) >= settings_.max_attempts) return false;
     if (job.klass->repeat != Repeat::unsafe) return true;
     return std::none_of(job.attempts.begin(), job.attempts.end(),
-                        [](const auto& a) { return a.may_have_run; });
+                        [](const auto& attempt) { return attempt.may_have_run; });
   }
 
   void on(const Outcome& outcome) {
@@ -789,82 +901,87 @@
     auto& job = at->second;
     if (outcome.attempt < 0 || outcome.attempt >= static_cast<int>(job.attempts.size())) return;
     auto& attempt = job.attempts[static_cast<std::size_t>(outcome.attempt)];
-    if (!attempt.out) return;
-    attempt.out = false;
+    if (!attempt.pending) return;
+    attempt.pending = false;
     attempt.may_have_run = outcome.result != Result::full && outcome.result != Result::connect_failed &&
                            outcome.result != Result::not_sent;
-    job.out -= 1;
+    job.attempts_out -= 1;
     auto& server = servers_[static_cast<std::size_t>(attempt.server)];
     server.open -= 1;
-    judge(server, job, attempt, outcome);
-    auto& a = accounts_[job.account];
-    a.open_attempts -= 1;
-    if (a.plan && a.plan->open_limit > 0) {  // its place is given back at once
-      note(a);
-      a.requested_units = -1;
-      freed_ = true;
+    record_outcome(server, job, attempt, outcome);
+    auto& account = accounts_[job.account];
+    account.open_attempts -= 1;
+    if (account.plan && account.plan->open_limit > 0) {  // its slot is returned at once
+      mark_changed(account);
+      account.requested_units = -1;
+      lease_changed_ = true;
     }
-    if (a.plan && outcome.settled_units > 0 && !job.beyond)
-      settle(a, outcome.settled_units - job.request.units);
+    if (account.plan && outcome.settled_units > 0 && !job.beyond_quota)
+      settle(account, outcome.settled_units - job.request.units);
     if (outcome.finished || job.done) {
       close(job);
-    } else if (job.out == 0) {
-      try_again(job);
+    } else if (job.attempts_out == 0) {
+      retry_or_finish(job);
     }
   }
 
-  void settle(Account& a, double difference) {
-    if (away_) act(SpentElsewhere{a.hash, difference, true});
-    fill(a);
-    a.used_units = std::max<std::int64_t>(0, a.used_units + std::llround(difference));
-    a.limit += std::llround(difference);
-    a.reported_allowance -= difference;
-    a.tokens = std::max(debt_of(*a.plan), a.tokens - difference);
-    note(a);
+  // Charges the difference between a request's true units and those spent for it; may be below 0.
+  void settle(Account& account, double difference) {
+    if (active_elsewhere_) act(SpentElsewhere{account.hash, difference, true});
+    refill(account);
+    account.used_units = std::max<std::int64_t>(0, account.used_units + std::llround(difference));
+    account.limit += std::llround(difference);
+    account.reported_allowance -= difference;
+    account.tokens = std::max(min_tokens(*account.plan), account.tokens - difference);
+    mark_changed(account);
   }
 
-  void try_again(Job& job) {
-    const auto least = static_cast<Nanos>(kFirstLatency / 2 * static_cast<double>(job.klass->aim));
-    const int server = may_repeat(job) && job.goal - now_ > least ? choose(job) : -1;
+  // After the last pending attempt has failed.
+  void retry_or_finish(Job& job) {
+    const auto min_time_left =
+        static_cast<Nanos>(kInitialLatencyAimShare / 2 * static_cast<double>(job.klass->aim));
+    const int server = may_repeat(job) && job.aim_end - now_ > min_time_left ? choose_server(job) : -1;
     server >= 0 ? send(job, server) : finish(job);
   }
 
-  // The module's own final answer. A refusal promises that nothing has run, or that it does not matter.
+  // Gives the module's own final answer. A refusal promises that nothing has run or that a repeat does no
+  // harm; else the request fails.
   void finish(Job& job) {
     bool may_have_run = false;
     for (const auto& attempt : job.attempts) may_have_run = may_have_run || attempt.may_have_run;
     if (may_have_run && !pool::harmless_once_run(*job.klass)) {
       act(Fail{job.request.id});
     } else {
-      // Waiting out the longest advice makes a retry miss its aim and spend a credit for nothing: only a
-      // request that has missed it already is asked to stay away.
-      const auto stay_away = now_ >= job.goal ? s_.max_retry_after : 0;
-      act(Refuse{job.request.id, s_.retry_after ? stay_away : back_in(job)});
+      // A client that waits as long as the longest advice misses the aim, and its retry spends tokens for
+      // nothing. So only a request that has already missed its aim is advised to wait.
+      const auto longest_advice = now_ >= job.aim_end ? settings_.max_retry_after : 0;
+      act(Refuse{job.request.id, settings_.retry_after ? longest_advice : retry_advice(job)});
     }
     close(job);
   }
 
-  // For those who ask by other ways than the clients' own retries: when its units should be there again.
-  Nanos back_in(const Job& job) {
-    const auto& a = accounts_[job.account];
-    const bool short_of = a.plan && a.plan->rate > 0 && a.tokens < job.request.units;
-    const double seconds = short_of ? (job.request.units - a.tokens) / a.plan->rate : 0;
-    return std::max(kSubperiod, static_cast<Nanos>(std::min(seconds, 60.0) * kSecond));
+  // Returns in how many ns the request's units should be available again, for clients without own retries.
+  Nanos retry_advice(const Job& job) {
+    const auto& account = accounts_[job.account];
+    const bool short_of_tokens = account.plan && account.plan->rate > 0 && account.tokens < job.request.units;
+    const double seconds = short_of_tokens ? (job.request.units - account.tokens) / account.plan->rate : 0;
+    return std::max(kSubperiod, static_cast<Nanos>(std::min(seconds, kMaxRetryAdviceSeconds) * kSecond));
   }
 
-  // The request has its answer: call off what is still out.
+  // Ends a request that has its final answer, and cancels its pending attempts.
   void close(Job& job) {
     job.done = true;
-    if (!job.admitted) leave_queue(job, accounts_[job.account]);
+    if (!job.admitted) end_hold(job, accounts_[job.account]);
     for (std::size_t i = 0; i < job.attempts.size(); ++i) {
-      if (job.attempts[i].out && s_.cancel) act(Cancel{job.request.id, static_cast<int>(i)});
+      if (job.attempts[i].pending && settings_.cancel) act(Cancel{job.request.id, static_cast<int>(i)});
     }
-    if (job.out == 0) finished_.push_back(job.request.id);
+    if (job.attempts_out == 0) finished_requests_.push_back(job.request.id);
   }
 
-  void sweep() {
-    for (const auto& id : finished_) jobs_.erase(id);
-    finished_.clear();
+  // Erases jobs whose last outcome has come.
+  void erase_finished() {
+    for (const auto& id : finished_requests_) jobs_.erase(id);
+    finished_requests_.clear();
   }
 
   void on(const ClientGone& gone) {
@@ -872,170 +989,179 @@
     if (at != jobs_.end() && !at->second.done) close(at->second);
   }
   template <typename Other>
-  void on(const Other&) {}  // timers only wake the clock below; the rest tells nothing needed
+  void on(const Other&) {}  // a timer only causes the step
 
-  // A late attempt at a server that answers nothing: a second copy where that is allowed (hedging),
-  // else it is called off and sent elsewhere when that is confirmed. One attempt without an answer is no sign
-  // of that: requests are few for each server, and a heavy one is as heavy elsewhere. Failures in a row are.
-  void look_elsewhere(Job& job) {
+  // Retries a late attempt at a server that does not answer: a second copy where that is allowed (hedging),
+  // else the attempt is cancelled and, once that is confirmed, sent elsewhere. One unanswered attempt is no
+  // evidence: requests are few for each server, and a heavy one is as heavy elsewhere. Consecutive failures
+  // are.
+  void retry_elsewhere(Job& job) {
     auto& attempt = job.attempts.back();
-    const int strikes = servers_[static_cast<std::size_t>(attempt.server)].strikes;
-    if (!attempt.out || !suspect(attempt) || strikes < kDoubt) return;
-    if (s_.second_copies) {
-      const int server = hedge_tokens_ >= 1 ? choose(job) : -1;
+    const int failures = servers_[static_cast<std::size_t>(attempt.server)].strikes;
+    if (!attempt.pending || !is_suspect(attempt) || failures < kFailuresToSuspect) return;
+    if (settings_.second_copies) {
+      const int server = hedge_tokens_ >= 1 ? choose_server(job) : -1;
       if (server < 0) return;
       hedge_tokens_ -= 1;
       send(job, server);
-    } else if (s_.cancel && !attempt.cut) {
-      attempt.cut = true;
+    } else if (settings_.cancel && !attempt.cancelled) {
+      attempt.cancelled = true;
       act(Cancel{job.request.id, static_cast<int>(job.attempts.size()) - 1});
     }
   }
 
-  void watch_attempts() {
+  // Finishes requests whose time is up, and retries late attempts.
+  void check_attempts() {
     for (auto& [id, job] : jobs_) {
       if (job.done || !job.admitted) continue;
-      if (now_ >= end_of(job) - (late_pays(job) ? kTick : 0)) {
+      if (now_ >= end_of(job) - (late_answer_pays(job) ? kTick : 0)) {
         finish(job);
-      } else if (job.out > 0 && now_ >= job.next_try && may_repeat(job)) {
-        look_elsewhere(job);
+      } else if (job.attempts_out > 0 && now_ >= job.retry_at && may_repeat(job)) {
+        retry_elsewhere(job);
       }
     }
-    sweep();
+    erase_finished();
   }
 
   // ---- the clock --------------------------------------------------------------------------------
 
   void start() {
     started_ = true;
-    if (!books_->transport) open_books();
+    if (!quota_state_->transport) start_quotas();
     next_split_ = (now_ / kSubperiod + 1) * kSubperiod;
-    last_tick_ = refilled_ = now_;
-    if (s_.list_on_request) act(WatchServers{});
+    last_tick_ = cold_tokens_refilled_at_ = now_;
+    if (settings_.list_on_request) act(WatchServers{});
   }
 
-  void open_books() {
+  // Sets up the quota state; the first of the modules that share it does.
+  void start_quotas() {
     started_at_ = now_;
-    books_->next_split = (now_ / kSubperiod + 1) * kSubperiod;
-    const double rate =
-        ledger::message_rate(s_.peer_messages_per_s, s_.index, s_.gateways, s_.dedicated_leaders);
-    const auto life = static_cast<std::uint16_t>(life_);
-    books_->transport = std::make_unique<ledger::Transport>(
-        ledger::TransportSettings{s_.gateways, s_.index, life, s_.message_bytes, rate, ledger::kMessageBurst,
-                                  s_.peers, s_.guarded, s_.seed, s_.dedicated_leaders},
+    quota_state_->next_split = (now_ / kSubperiod + 1) * kSubperiod;
+    const double rate = ledger::message_rate(settings_.peer_messages_per_s, settings_.index,
+                                             settings_.gateways, settings_.dedicated_leaders);
+    const auto generation = static_cast<std::uint16_t>(generation_);
+    quota_state_->transport = std::make_unique<ledger::Transport>(
+        ledger::TransportSettings{settings_.gateways, settings_.index, generation, settings_.message_bytes,
+                                  rate, ledger::kMessageBurst, settings_.peers, settings_.guarded,
+                                  settings_.seed, settings_.dedicated_leaders},
         time());
-    books_->leader_selection = std::make_unique<ledger::LeaderSelection>(
-        ledger::LeaderSelectionSettings{s_.gateways, s_.index, s_.dedicated_leaders, s_.guarded,
-                                        ledger::Time(kSubperiod)},
+    quota_state_->leader_selection = std::make_unique<ledger::LeaderSelection>(
+        ledger::LeaderSelectionSettings{settings_.gateways, settings_.index, settings_.dedicated_leaders,
+                                        settings_.guarded, ledger::Time(kSubperiod)},
         time());
-    books_->ledgers = std::make_unique<ledger::Ledgers>(transport().leader_election());
+    quota_state_->ledgers = std::make_unique<ledger::Ledgers>(transport().leader_election());
   }
 
-  // Where quotas are guarded: votes flow, parts turn on and off, and ledgers go to whose they are.
-  void guard() {
-    if (!s_.guarded || now_ < next_guard_) return;
-    next_guard_ = now_ + transport().heartbeat_check_interval().count();
+  // Guarded quotas: sends heartbeats, switches fallback shares, and transfers ledgers to their new leaders.
+  void run_guarded() {
+    if (!settings_.guarded || now_ < next_guarded_run_) return;
+    next_guarded_run_ = now_ + transport().heartbeat_check_interval().count();
     transport().update_heartbeats(time());
-    for (auto& [hash, a] : accounts_) {
-      if (a.plan) a.guarded_quota.update_fallback(leader_election(), hash, s_.index, time());
+    for (auto& [hash, account] : accounts_) {
+      if (account.plan)
+        account.guarded_quota.update_fallback(leader_election(), hash, settings_.index, time());
     }
-    ledgers().start_transfers(s_.index, ends_, time());
-    ledgers().send_transfers(s_.index, time(), [this](int to, const ledger::PendingTransfer& h) {
-      transport().enqueue(to, {h.plan, h.customer, ledger::Transfer{h.level, h.number}});
-    });
-  }
-  void on(const ShuttingDown&) { ends_ = true; }
-  void on(const HandedOver& handed) { away_ = handed.active_elsewhere; }
-  void on(const SpentElsewhere& e) {
-    const auto a = accounts_.find(e.customer);
-    if (a == accounts_.end() || !a->second.plan) return;
-    fill(a->second);
-    e.settled ? settle(a->second, e.units) : spend(a->second, e.units);
+    ledgers().start_transfers(settings_.index, shutting_down_, time());
+    ledgers().send_transfers(
+        settings_.index, time(), [this](int to, const ledger::PendingTransfer& transfer) {
+          transport().enqueue(
+              to, {transfer.plan, transfer.customer, ledger::Transfer{transfer.level, transfer.number}});
+        });
+  }
+  void on(const ShuttingDown&) { shutting_down_ = true; }
+  void on(const HandedOver& handed) { active_elsewhere_ = handed.active_elsewhere; }
+  void on(const SpentElsewhere& spent) {
+    const auto account = accounts_.find(spent.customer);
+    if (account == accounts_.end() || !account->second.plan) return;
+    refill(account->second);
+    spent.settled ? settle(account->second, spent.units) : spend(account->second, spent.units);
   }
 
   void tick() {
     last_tick_ = now_;
-    guard();
+    run_guarded();
     if (now_ >= next_split_) {
       next_split_ = (now_ / kSubperiod + 1) * kSubperiod;
-      refill_cold(now_ - std::exchange(refilled_, now_));
+      refill_cold_tokens(now_ - std::exchange(cold_tokens_refilled_at_, now_));
     }
-    // What modules that hold quotas together share is looked at by the first of them whose turn comes.
-    if (now_ >= books_->next_split) {
-      books_->next_split = (now_ / kSubperiod + 1) * kSubperiod;
-      for (auto& [hash, ledger] : ledgers().all()) share_out(ledger, -1);
-      forget();
+    // State that modules share is processed by the first of them in each subperiod.
+    if (now_ >= quota_state_->next_split) {
+      quota_state_->next_split = (now_ / kSubperiod + 1) * kSubperiod;
+      for (auto& [hash, ledger] : ledgers().all()) split_ledger(ledger, -1);
+      erase_idle();
     }
-    agenda_.process_due(time(), [this](std::uint32_t hash) -> std::optional<ledger::Time> {
-      auto& a = accounts_.at(hash);
-      const ledger::Time again(seek(a));
-      return a.held_requests > 0 || a.changed || a.requested_at > a.answered_at ? std::optional(again)
-                                                                                : std::nullopt;
+    due_queue_.process_due(time(), [this](std::uint32_t hash) -> std::optional<ledger::Time> {
+      auto& account = accounts_.at(hash);
+      const ledger::Time next_check(request_lease(account));
+      return account.held_requests > 0 || account.changed || account.requested_at > account.answered_at
+                 ? std::optional(next_check)
+                 : std::nullopt;
     });
     release_held();
-    watch_attempts();
+    check_attempts();
     next_tick_ = now_;
   }
 
-  // A quiet account goes once its store is full again, and after its keepers have dropped their claims, whose
-  // totals would not fit its next ones. A ledger goes once it is full.
-  void forget() {
-    const auto after = accounts_.size() < kManyAccounts ? kRemember : kForget;
+  // Erases idle state. An account goes once its bucket is full again and its leaders have dropped their
+  // claims, whose totals would not fit those of a new account. A ledger goes once it is full.
+  void erase_idle() {
+    const auto after = accounts_.size() < kManyAccounts ? kForgetAfterIfFew : kForgetAfter;
     ledgers().erase_idle(time(), ledger::Time(after));
-    books_->throttled.erase_expired(time());
-    ledger::erase_some(accounts_, books_->swept, [&](const auto& item) {
-      const auto& [hash, a] = item;
-      if (a.held_requests > 0 || a.open_attempts > 0 || agenda_.contains(hash)) return false;
-      if (!a.plan) return true;
-      const auto quiet = now_ - std::max(a.refilled_at, a.requested_at);
-      const double level = a.tokens + a.plan->rate * static_cast<double>(quiet) / kSecond;
-      const double part = alone() ? 1.0 / a.spread : 1;
-      return quiet > after && (a.plan->rate <= 0 || level >= a.plan->burst * part);
+    quota_state_->shed_table.erase_expired(time());
+    ledger::erase_some(accounts_, quota_state_->erase_cursor, [&](const auto& item) {
+      const auto& [hash, account] = item;
+      if (account.held_requests > 0 || account.open_attempts > 0 || due_queue_.contains(hash)) return false;
+      if (!account.plan) return true;
+      const auto idle_time = now_ - std::max(account.refilled_at, account.requested_at);
+      const double tokens = account.tokens + account.plan->rate * static_cast<double>(idle_time) / kSecond;
+      const double share = isolated() ? 1.0 / account.spread : 1;
+      return idle_time > after && (account.plan->rate <= 0 || tokens >= account.plan->burst * share);
     });
   }
 
-  // Timers only while something waits; the subperiod's otherwise.
-  void wake() {
-    const bool works = !jobs_.empty() || transport().has_pending() || ledgers().has_transfers();
-    const auto due = works ? 0 : agenda_.next_due().value_or(ledger::Time(next_split_)).count();
+  // Sets the timer: to the next tick while anything waits, else to the next subperiod.
+  void set_timer() {
+    const bool waiting = !jobs_.empty() || transport().has_pending() || ledgers().has_transfers();
+    const auto due = waiting ? 0 : due_queue_.next_due().value_or(ledger::Time(next_split_)).count();
     auto at = std::min(next_split_, std::max<Nanos>(due, last_tick_ + kTick));
-    if (s_.guarded) at = std::min(at, next_guard_);
-    if (at != next_tick_ || at <= now_) act(SetTimer{1, next_tick_ = std::max(at, now_ + 1)});
+    if (settings_.guarded) at = std::min(at, next_guarded_run_);
+    if (at != next_tick_ || at <= now_) act(SetTimer{kTimerToken, next_tick_ = std::max(at, now_ + 1)});
   }
 
-  const Settings s_;
+  const Settings settings_;
   std::mt19937_64 random_;
-  const std::shared_ptr<QuotaState> books_;
-  const std::vector<PlanSettings>& plans_ = books_->plans;
-  std::uint32_t& life_ = books_->generation;
-  std::map<std::uint32_t, Account>& accounts_ = books_->accounts;
-  ledger::DueQueue& agenda_ = books_->due_queue;
-  Nanos& started_at_ = books_->started_at;
+  const std::shared_ptr<QuotaState> quota_state_;
+  const std::vector<PlanSettings>& plans_ = quota_state_->plans;
+  std::uint32_t& generation_ = quota_state_->generation;
+  std::map<std::uint32_t, Account>& accounts_ = quota_state_->accounts;
+  ledger::DueQueue& due_queue_ = quota_state_->due_queue;
+  Nanos& started_at_ = quota_state_->started_at;
   Nanos now_ = 0;
   std::vector<Action>* actions_ = nullptr;
   bool started_ = false;
-  bool idle_ = false;
-  bool ends_ = false;     // keeps nothing any more
-  bool away_ = false;     // another process serves in its place
-  bool pressed_ = false;  // no server had room for a held request at the last look
-  bool freed_ = false;    // credits have come since the last look at held requests
-  Nanos next_guard_ = 0, next_split_ = 0, next_tick_ = 0, last_tick_ = 0, refilled_ = 0;
-  pool::AnswerTimes times_{kFirstLatency};
+  bool servers_idle_ = false;      // as of the last choice of a server
+  bool shutting_down_ = false;     // leads no ledger any more
+  bool active_elsewhere_ = false;  // another process serves in its place
+  bool servers_full_ = false;      // no server had room for a held request at the last check
+  bool lease_changed_ = false;     // leases have come since the last check of held requests
+  Nanos next_guarded_run_ = 0, next_split_ = 0, next_tick_ = 0, last_tick_ = 0, cold_tokens_refilled_at_ = 0;
+  pool::AnswerTimes answer_times_{kInitialLatencyAimShare};
   pool::Load load_;
-  const pool::Windows windows_{s_.gateways};
-  const pool::ColdStart cold_start_{s_.cold_from, s_.warm_up, s_.gateways};
-  double served_recently_ = 0, hedge_tokens_ = 0;
-  Server fresh_;
+  const pool::Windows windows_{settings_.gateways};
+  const pool::ColdStart cold_start_{settings_.cold_from, settings_.warm_up, settings_.gateways};
+  double recent_answers_ = 0;  // decays over kAnswerRateWindow
+  double hedge_tokens_ = 0;
+  Server new_server_;  // initial state of a server
   std::vector<Server> servers_;
   std::map<std::string, pool::BudgetsSeen> budgets_;  // by class
-  std::map<std::string, int> by_id_;
+  std::map<std::string, int> server_index_;           // into servers_, by id
   std::map<std::string, Job> jobs_;
-  std::vector<std::string> held_, finished_;
+  std::vector<std::string> held_requests_, finished_requests_;
 };
 
 DecisionModule::DecisionModule(const Settings& settings) : impl_(std::make_unique<Impl>(settings)) {}
 DecisionModule::DecisionModule(const Settings& settings, const DecisionModule& shares)
-    : impl_(std::make_unique<Impl>(settings, shares.impl_->books())) {}
+    : impl_(std::make_unique<Impl>(settings, shares.impl_->quota_state())) {}
 DecisionModule::~DecisionModule() = default;
 DecisionModule::DecisionModule(DecisionModule&&) noexcept = default;
 DecisionModule& DecisionModule::operator=(DecisionModule&&) noexcept = default;
--- a/src/ledger/quota_state.h
+++ b/src/ledger/quota_state.h
@@ -1,4 +1,5 @@
-// All that a gatekeeper holds of its customers' quotas.
+// The quota state of a gatekeeper: accounts of the customers that it serves, ledgers that it leads, and the
+// messages to other gatekeepers. Free of I/O.
 #pragma once
 
 #include <map>
@@ -13,34 +14,38 @@
 
 namespace cranemux::ledger {
 
-// Quotas and the mail about them: of one DecisionModule, or of several in a process that hold them together.
+// Of one DecisionModule, or of several in a process that share quotas.
 struct QuotaState {
   std::vector<PlanSettings> plans;
-  std::uint32_t generation = 0;
-  std::map<std::uint32_t, Account> accounts;
-  DueQueue due_queue;  // accounts with something to ask or tell
-  Nanos started_at = -1;
-  Nanos next_split = 0;                  // of ledgers, by whoever of several modules comes to it first
-  std::unique_ptr<Transport> transport;  // from the start on
+  std::uint32_t generation = 0;               // drawn at the start; peers tell restarts by it
+  std::map<std::uint32_t, Account> accounts;  // by hash of the customer's name
+  DueQueue due_queue;                         // accounts with something to request or report
+  Nanos started_at = -1;                      // ns of the steady clock
+  Nanos next_split = 0;                  // of the ledgers, made by the first module whose clock reaches it
+  std::unique_ptr<Transport> transport;  // null before the first step
   std::unique_ptr<Ledgers> ledgers;
-  std::unique_ptr<LeaderSelection> leader_selection;  // from the start on
-  ShedTable throttled;                                // where members are set aside
-  std::uint32_t swept = 0;                            // accounts, up to there
+  std::unique_ptr<LeaderSelection> leader_selection;  // null before the first step
+  ShedTable shed_table;            // customers whose requests are shed, where there are dedicated leaders
+  std::uint32_t erase_cursor = 0;  // where the next pass over the accounts goes on
 
-  // A customer's first request here, where all are told who is throttled: who is not may spend before it is
-  // asked for, and `share` units whether its keeper is heard or not.
-  void meet(Account& a, double share, Time now) const {
-    if (a.plan->rate <= 0) return;
-    a.borrowable = share;
-    a.optimistic_lease.update(true, share, now);
-    if (const auto part = throttled.share(a.hash, now)) a.optimistic_lease.shed(part_of(*part), now);
+  // Prepares the account of a customer's first request here, where dedicated leaders notify all gatekeepers
+  // of shedding: without such a notice the account starts with an optimistic lease, `share` units of which
+  // may be spent even if the leader does not answer.
+  void on_first_request(Account& account, double share, Time now) const {
+    if (account.plan->rate <= 0) return;
+    account.borrowable = share;
+    account.optimistic_lease.update(true, share, now);
+    if (const auto admitted = shed_table.share(account.hash, now))
+      account.optimistic_lease.shed(to_fraction(*admitted), now);
   }
-  void throttle(const ShedNotice& word, Time now) {
-    throttled.update(word.customer, word.share, now);
-    const auto a = accounts.find(word.customer);
-    if (a != accounts.end()) a->second.optimistic_lease.shed(part_of(word.share), now);
+  // Applies a leader's notice of which share of the customer's requests to admit.
+  void apply_shed_notice(const ShedNotice& notice, Time now) {
+    shed_table.update(notice.customer, notice.share, now);
+    const auto account = accounts.find(notice.customer);
+    if (account != accounts.end()) account->second.optimistic_lease.shed(to_fraction(notice.share), now);
   }
-  static double part_of(int share) { return static_cast<double>(share) / kWholeShare; }
+  // Converts hundredths to a fraction from 0 to 1.
+  static double to_fraction(int share) { return static_cast<double>(share) / kWholeShare; }
 };
 
 }  // namespace cranemux::ledger
