--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,4 +1,6 @@
-// cranemux_adapter: hosts one DecisionModule for each front door and speaks the simulator's wire.
+// cranemux_adapter: runs one DecisionModule for each gateway of a simulation. Reads the simulator's protocol
+// from standard input and writes the replies to standard output. Exits with 1 at the first line that it
+// cannot read.
 #include <cstdio>
 #include <exception>
 #include <iostream>
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -15,7 +15,11 @@
 
 namespace {
 
-constexpr std::string_view kBase64 = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+constexpr std::string_view kBase64Alphabet =
+    "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+constexpr int kNoGateway = -1;            // before the first `instance` line of a batch
+constexpr unsigned kRepeatFlag = 2;       // in the flags of `job_in`
+constexpr std::size_t kQuotedLine = 200;  // bytes of a faulty line that an error message quotes
 
 Result parse_result(const std::string& text) {
   return choose<Result>(text, "ending",
@@ -29,6 +33,7 @@
                          {"moot", Result::not_sent}});
 }
 
+// Splits the text at each separator. Nothing follows a separator at its end.
 std::vector<std::string> split(std::string_view text, char separator) {
   std::vector<std::string> parts;
   while (!text.empty()) {
@@ -40,6 +45,8 @@
   return parts;
 }
 
+// Reads the values of a `gauge` field, whose names the `stats.fields` setting lists in the same order. Names
+// that are not known are ignored.
 LoadReport parse_load(const std::string& row, const std::vector<std::string>& names) {
   LoadReport load;
   const auto values = split(row, ',');
@@ -69,18 +76,21 @@
   return entry;
 }
 
-struct Host {
-  std::optional<DecisionModule> decision_module;
-  std::vector<std::string> load_names;
-  std::vector<Event> events;
-  std::string fault;
+// One simulated gateway.
+struct Gateway {
+  std::optional<DecisionModule> decision_module;  // none if its settings were rejected
+  std::vector<std::string> load_names;            // of the values in LoadReports, in their order
+  std::vector<Event> events;                      // since the last `commit`
+  std::string error;                              // to be reported in the next reply; empty: none
 };
 
-class Server {
+// State of one connection to the simulator.
+class Session {
  public:
-  explicit Server(std::ostream& out) : out_(out) {}
+  explicit Session(std::ostream& out) : out_(out) {}
 
-  void line(const std::string& text) {
+  // Handles one line. Throws ParseError.
+  void read_line(const std::string& text) {
     const auto space = text.find(' ');
     const auto name = std::string_view(text).substr(0, space);
     const auto rest =
@@ -95,9 +105,9 @@
     const auto fields = parse_fields(rest);
     if (name == "turn") {
       now_ = parse_number<Nanos>(required(fields, "at-time-ns"), "at-time-ns");
-      host_ = -1;
+      gateway_id_ = kNoGateway;
     } else if (name == "instance") {
-      host_ = parse_number<int>(required(fields, "door-id"), "door-id");
+      gateway_id_ = parse_number<int>(required(fields, "door-id"), "door-id");
     } else if (name == "inventory") {
       list_ = parse_number<int>(required(fields, "ref"), "ref");
       entries_left_ = parse_number<int>(required(fields, "records"), "records");
@@ -105,30 +115,32 @@
     } else if (name == "configure") {
       configure(fields);
     } else if (name == "destroy") {
-      hosts_.erase(host_);
+      gateways_.erase(gateway_id_);
     } else {
-      event(name, fields);
+      add_event(name, fields);
     }
   }
 
  private:
+  // Creates the current gateway anew. Rejected settings are reported in the reply.
   void configure(const Fields& fields) {
-    auto& host = hosts_[host_];
-    host = Host{};
+    auto& gateway = gateways_[gateway_id_];
+    gateway = Gateway{};
     auto settings = parse_settings(fields);
-    host.load_names = split(text_of(fields, "stats.fields"), ',');
+    gateway.load_names = split(text_of(fields, "stats.fields"), ',');
     try {
-      host.decision_module.emplace(settings);
+      gateway.decision_module.emplace(settings);
     } catch (const std::exception& error) {
-      host.fault = error.what();
+      gateway.error = error.what();
     }
   }
 
-  void event(std::string_view name, const Fields& fields) {
-    const auto found = hosts_.find(host_);
-    if (found == hosts_.end()) throw ParseError("no such instance");
-    auto& host = found->second;
-    auto& events = host.events;
+  // Adds an event for the current gateway.
+  void add_event(std::string_view name, const Fields& fields) {
+    const auto found = gateways_.find(gateway_id_);
+    if (found == gateways_.end()) throw ParseError("no such instance");
+    auto& gateway = found->second;
+    auto& events = gateway.events;
     if (name == "job_in") {
       Request request;
       request.id = required(fields, "rid");
@@ -139,7 +151,7 @@
       request.units = number_of<double>(fields, "units", 1.0);
       request.first = number_of<int>(fields, "base");
       request.spread = number_of<int>(fields, "doors", 1);
-      request.repeat = (number_of<unsigned>(fields, "flags") & 2U) != 0;
+      request.repeat = (number_of<unsigned>(fields, "flags") & kRepeatFlag) != 0;
       events.emplace_back(std::move(request));
     } else if (name == "result") {
       Outcome outcome;
@@ -149,7 +161,7 @@
       outcome.took = number_of<Nanos>(fields, "cost-time-ns");
       outcome.finished = flag_of(fields, "settled");
       outcome.settled_units = number_of<double>(fields, "billed");
-      outcome.load = parse_load(text_of(fields, "gauge"), host.load_names);
+      outcome.load = parse_load(text_of(fields, "gauge"), gateway.load_names);
       events.emplace_back(std::move(outcome));
     } else if (name == "targets") {
       ServerList list;
@@ -172,7 +184,7 @@
     } else if (name == "probe_result") {
       events.emplace_back(ProbeResult{required(fields, "backend"), parse_result(required(fields, "ending")),
                                       number_of<Nanos>(fields, "cost-time-ns"),
-                                      parse_load(text_of(fields, "gauge"), host.load_names)});
+                                      parse_load(text_of(fields, "gauge"), gateway.load_names)});
     } else if (name == "total") {
       events.emplace_back(CounterResult{number_of<std::uint64_t>(fields, "counter"),
                                         text_of(fields, "ending") == "ok",
@@ -182,34 +194,36 @@
     }
   }
 
+  // Ends a batch: steps each gateway that has events and writes its actions.
   void reply() {
-    for (auto& [id, host] : hosts_) {
-      if (host.events.empty() && host.fault.empty()) continue;
+    for (auto& [id, gateway] : gateways_) {
+      if (gateway.events.empty() && gateway.error.empty()) continue;
       std::vector<Action> actions;
       try {
-        if (host.decision_module) host.decision_module->step(now_, host.events, actions);
+        if (gateway.decision_module) gateway.decision_module->step(now_, gateway.events, actions);
       } catch (const std::exception& error) {
-        host.fault = error.what();
+        gateway.error = error.what();
       }
-      host.events.clear();
-      if (actions.empty() && host.fault.empty()) continue;
+      gateway.events.clear();
+      if (actions.empty() && gateway.error.empty()) continue;
       out_ << "context door-id=" << id << '\n';
       for (const auto& action : actions) out_ << format_action(action) << '\n';
-      if (!host.fault.empty()) out_ << "die words=" << host.fault << '\n';
-      host.fault.clear();
+      if (!gateway.error.empty()) out_ << "die words=" << gateway.error << '\n';
+      gateway.error.clear();
     }
     out_ << "finished\n" << std::flush;
   }
 
   std::ostream& out_;
-  std::map<int, Host> hosts_;
-  std::map<int, std::vector<ServerEntry>> lists_;
+  std::map<int, Gateway> gateways_;
+  std::map<int, std::vector<ServerEntry>> lists_;  // by `ref`
   Nanos now_ = 0;
-  int host_ = -1;
-  int list_ = 0;
-  int entries_left_ = 0;
+  int gateway_id_ = kNoGateway;  // that lines refer to, by `instance`
+  int list_ = 0;                 // that `m` lines belong to
+  int entries_left_ = 0;         // `m` lines to come
 };
 
+// A visitor of std::visit made of lambdas.
 template <class... Ts>
 struct Overloaded : Ts... {
   using Ts::operator()...;
@@ -248,7 +262,7 @@
       group = group << 8U | (i + j < bytes.size() ? static_cast<unsigned char>(bytes[i + j]) : 0U);
     }
     for (std::size_t j = 0; j < 4; ++j) {
-      text += i + j > bytes.size() ? '=' : kBase64[group >> (18U - 6U * j) & 63U];
+      text += i + j > bytes.size() ? '=' : kBase64Alphabet[group >> (18U - 6U * j) & 63U];
     }
   }
   return text;
@@ -262,7 +276,7 @@
   std::uint32_t group = 0;
   unsigned bits = 0;
   for (const char c : text) {
-    const auto value = kBase64.find(c);
+    const auto value = kBase64Alphabet.find(c);
     if (value == std::string_view::npos) throw ParseError("damaged base64");
     group = group << 6U | static_cast<std::uint32_t>(value);
     bits += 6;
@@ -294,20 +308,21 @@
           },
           [&](const WatchServers&) { return std::string("stream_changes enable=1"); },
           [&](const Log& a) { return "remark words=" + a.text; },
-          [&](const SpentElsewhere&) { return std::string("remark words=handed over"); },  // never here
+          // Never returned here: the simulator has no hand-over.
+          [&](const SpentElsewhere&) { return std::string("remark words=handed over"); },
       },
       action);
 }
 
 void serve(std::istream& in, std::ostream& out) {
-  Server server(out);
+  Session session(out);
   std::string line;
   while (std::getline(in, line)) {
     if (line.empty()) continue;
     try {
-      server.line(line);
+      session.read_line(line);
     } catch (const ParseError& error) {
-      throw ParseError("cannot read line '" + line.substr(0, 200) + "': " + error.what());
+      throw ParseError("cannot read line '" + line.substr(0, kQuotedLine) + "': " + error.what());
     }
   }
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,4 @@
-// What the settings may hold: faults name the key and what may stand there, all at once.
+// Tests of the checks of settings: all faults are reported at once, each with its key and what is allowed.
 #include "config/settings.h"
 
 #include <gtest/gtest.h>
@@ -11,8 +11,9 @@
 namespace cranemux::config {
 namespace {
 
-// Traits of both deployments and of neither: three forms of good settings.
-Fields good(int form) {
+// Valid settings in three forms (0 to 2), which differ in how requests may be repeated and in the plan's
+// limits.
+Fields valid_settings(int form) {
   Fields f{{"balancers", "3"},
            {"index", "1"},
            {"caps.most-tries", "4"},
@@ -45,41 +46,42 @@
   return f;
 }
 
-TEST(SettingsFaults, GoodOnesHaveNone) {
-  for (int form = 0; form < 3; ++form) EXPECT_TRUE(faults_of(parse_settings(good(form))).empty()) << form;
+TEST(SettingsFaults, ValidSettingsHaveNone) {
+  for (int form = 0; form < 3; ++form)
+    EXPECT_TRUE(faults_of(parse_settings(valid_settings(form))).empty()) << form;
 }
 
 TEST(SettingsFaults, EachNamesItsKey) {
-  const std::vector<std::pair<std::string, std::string>> bad = {{"balancers", "0"},
-                                                                {"index", "3"},
-                                                                {"index", "-1"},
-                                                                {"caps.most-tries", "0"},
-                                                                {"specifics.most-units", "0"},
-                                                                {"specifics.most-units", "nan"},
-                                                                {"specifics.mail-per-s", "-1"},
-                                                                {"invariants.drain-grace-ns", "-5"},
-                                                                {"invariants.cold-from", "1.5"},
-                                                                {"invariants.warm-up-ns", "-1"},
-                                                                {"classes.0.name", ""},
-                                                                {"classes.0.goal-time-ns", "0"},
-                                                                {"classes.0.late-share", "1.1"},
-                                                                {"classes.0.points", "-1"},
-                                                                {"classes.0.points", "inf"},
-                                                                {"classes.1.name", "look"},
-                                                                {"classes.1.memory-span-ns", "0"},
-                                                                {"contracts.0.name", ""},
-                                                                {"contracts.0.per-second", "-1"},
-                                                                {"contracts.0.per-second", "nan"},
-                                                                {"contracts.0.peak-units", "0"},
-                                                                {"contracts.0.at-once", "-1"},
-                                                                {"contracts.0.ceiling-rate", "2"},
-                                                                {"contracts.0.cap-depth", "0"},
-                                                                {"contracts.0.tolerance", "-1"},
-                                                                {"contracts.0.pays", "-1"},
-                                                                {"contracts.0.over-worth", "-1"},
-                                                                {"contracts.0.excess-cost", "inf"}};
-  for (const auto& [key, value] : bad) {
-    auto fields = good(2);
+  const std::vector<std::pair<std::string, std::string>> invalid = {{"balancers", "0"},
+                                                                    {"index", "3"},
+                                                                    {"index", "-1"},
+                                                                    {"caps.most-tries", "0"},
+                                                                    {"specifics.most-units", "0"},
+                                                                    {"specifics.most-units", "nan"},
+                                                                    {"specifics.mail-per-s", "-1"},
+                                                                    {"invariants.drain-grace-ns", "-5"},
+                                                                    {"invariants.cold-from", "1.5"},
+                                                                    {"invariants.warm-up-ns", "-1"},
+                                                                    {"classes.0.name", ""},
+                                                                    {"classes.0.goal-time-ns", "0"},
+                                                                    {"classes.0.late-share", "1.1"},
+                                                                    {"classes.0.points", "-1"},
+                                                                    {"classes.0.points", "inf"},
+                                                                    {"classes.1.name", "look"},
+                                                                    {"classes.1.memory-span-ns", "0"},
+                                                                    {"contracts.0.name", ""},
+                                                                    {"contracts.0.per-second", "-1"},
+                                                                    {"contracts.0.per-second", "nan"},
+                                                                    {"contracts.0.peak-units", "0"},
+                                                                    {"contracts.0.at-once", "-1"},
+                                                                    {"contracts.0.ceiling-rate", "2"},
+                                                                    {"contracts.0.cap-depth", "0"},
+                                                                    {"contracts.0.tolerance", "-1"},
+                                                                    {"contracts.0.pays", "-1"},
+                                                                    {"contracts.0.over-worth", "-1"},
+                                                                    {"contracts.0.excess-cost", "inf"}};
+  for (const auto& [key, value] : invalid) {
+    auto fields = valid_settings(2);
     fields[key] = value;
     const auto faults = faults_of(parse_settings(fields));
     ASSERT_GE(faults.size(), 1U) << key << "=" << value;
@@ -90,8 +92,8 @@
   }
 }
 
-TEST(SettingsFaults, AllAreNamedAtOnce) {
-  auto fields = good(1);
+TEST(SettingsFaults, AllAreReportedAtOnce) {
+  auto fields = valid_settings(1);
   fields["classes.1.memory-span-ns"] = "0";
   fields["contracts.0.cap-depth"] = "0";
   fields["index"] = "9";
