--- a/src/peers/datagram_batcher.h
+++ b/src/peers/datagram_batcher.h
@@ -1,9 +1,11 @@
-// Messages of several ledgers on one link: packed into datagrams, with the link's budget of datagrams shared
-// out fairly. Knows no socket; times are the caller's.
+// Batches the messages of several ledgers into datagrams on one link, and shares the link's budget of
+// datagrams among the ledgers fairly. Free of I/O: the caller passes in times and sends the datagrams.
 //
-// A datagram is a byte that tells this form from the module's own (which starts with its version), then
-// messages:
-//   tag (4 bytes, of the ledger's name, little endian), length (1), so many bytes.
+// Wire format of a datagram: one byte 0xc1, which distinguishes it from the decision module's own messages
+// (those start with their version), then any number of messages:
+//   4 bytes   tag of the ledger (tag_of), little endian
+//   1 byte    length of the message
+//   ...       the message
 #pragma once
 
 #include <chrono>
@@ -18,49 +20,54 @@
 namespace cranemux::peers {
 
 using Tag = std::uint32_t;
-Tag tag_of(std::string_view ledger);  // XXH32 of the name
+// Returns the tag of a ledger: XXH32 of its name with seed 0.
+Tag tag_of(std::string_view ledger);
 
-constexpr std::size_t kMaxDatagramBytes = 256;       // a longer datagram may not be sent
-constexpr std::size_t kMaxTaggedMessageBytes = 250;  // a message with its tag and length fits a datagram
-constexpr std::size_t kMaxQueuedMessages =
-    4096;  // messages; the oldest of the ledger with most waiting is dropped
+constexpr std::size_t kMaxDatagramBytes = 256;
+// A message of this size fits a datagram together with the datagram's first byte, its tag and its length.
+constexpr std::size_t kMaxTaggedMessageBytes = 250;
+// Of all ledgers together. Above it the oldest message of the ledger with the longest queue is dropped.
+constexpr std::size_t kMaxQueuedMessages = 4096;
 
-// Calls `each` for every message. False: damaged, and nothing was called.
+// Calls `each` for every message of a datagram. Returns false, without a call, if the datagram is malformed.
 bool unpack(std::string_view datagram, const std::function<void(Tag, std::string_view)>& each);
 
 class DatagramBatcher {
  public:
   using Time = std::chrono::steady_clock::time_point;
   struct Datagram {
-    int to = 0;
+    int to = 0;  // index of a peer
     std::string bytes;
   };
 
-  explicit DatagramBatcher(double datagrams_per_s) : rate_(datagrams_per_s) {}
+  explicit DatagramBatcher(double datagrams_per_s) : datagrams_per_s_(datagrams_per_s) {}
 
-  // False: a message was dropped for it, since too many wait.
+  // Queues a message. Returns false if a message was dropped: this one if it is larger than
+  // kMaxTaggedMessageBytes, or an older one if there are more than kMaxQueuedMessages.
   bool enqueue(Tag tag, int to, std::string bytes);
-  // The next datagram, if the budget has one and something waits. Ledgers take turns; what others have for
-  // the same peer rides along while it fits, so a quiet ledger loses nothing to a busy one.
+  // Returns the next datagram, if a message is queued and the budget allows one. Ledgers are served round
+  // robin; messages of other ledgers to the same peer are added while they fit, so a ledger with few messages
+  // is not delayed by one with many.
   std::optional<Datagram> next(Time now);
-  std::optional<Time> next_due_at() const;  // when `next` is worth calling again; none while nothing waits
-  std::size_t waiting() const { return waiting_; }
+  // Returns when the budget allows the next datagram; nothing while no message is queued.
+  std::optional<Time> next_due_at() const;
+  std::size_t waiting() const { return waiting_; }  // queued messages
 
  private:
   struct Message {
     int to;
     std::string bytes;
   };
-  struct Box {
+  struct LedgerQueue {
     Tag tag;
     std::deque<Message> messages;
   };
   void refill(Time now);
-  void ride_along(Datagram& datagram);
+  void add_messages(Datagram& datagram);
 
-  double rate_, stamps_ = 1;
-  std::optional<Time> filled_;
-  std::deque<Box> boxes_;  // of ledgers with messages, the next in turn first
+  double datagrams_per_s_, send_tokens_ = 1;
+  std::optional<Time> refilled_at_;
+  std::deque<LedgerQueue> queues_;  // of ledgers with messages, the next to be served first
   std::size_t waiting_ = 0;
 };
 
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -6,18 +6,19 @@
 namespace cranemux::peers {
 namespace {
 
-constexpr std::chrono::milliseconds kBindAgain{50};
+constexpr std::chrono::milliseconds kBindRetryInterval{50};
+constexpr std::size_t kReceiveBufferBytes = 2048;
 
 }  // namespace
 
 LedgerEndpoint::LedgerEndpoint(PeerLink& link, Tag tag, core::Core& core)
     : tag(tag), core(core), link_(link) {
-  link_.lines_.push_back(this);
+  link_.endpoints_.push_back(this);
 }
 
-LedgerEndpoint::~LedgerEndpoint() { std::erase(link_.lines_, this); }
+LedgerEndpoint::~LedgerEndpoint() { std::erase(link_.endpoints_, this); }
 
-void LedgerEndpoint::tell(int to, const std::string& bytes) { link_.tell(*this, to, bytes); }
+void LedgerEndpoint::tell(int to, const std::string& bytes) { link_.send(*this, to, bytes); }
 
 PeerLink::PeerLink(net::asio::io_context& io, const std::optional<config::Address>& listen,
                    const std::vector<config::Address>& peers, metrics::Logger& logger,
@@ -37,17 +38,17 @@
   }
 }
 
-// The place may still be that of a process that is about to end.
+// The address may still be bound by an earlier process of this gatekeeper that is about to exit.
 net::awaitable<void> PeerLink::bind() {
-  for (bool told = false;;) {
+  for (bool logged = false;;) {
     boost::system::error_code error;
     socket_.open(listen_->protocol(), error);
     if (!error) socket_.bind(*listen_, error);
     if (!error) break;
     socket_.close(error);
-    if (!std::exchange(told, true))
-      logger_.log(metrics::Level::warning, "peer_listen is taken: waits for it");
-    timer_.expires_after(kBindAgain);
+    if (!std::exchange(logged, true))
+      logger_.log(metrics::Level::warning, "peer_listen: the address is in use; retrying until it is free");
+    timer_.expires_after(kBindRetryInterval);
     const auto [stopped] = co_await timer_.async_wait(net::kResult);
     if (stopped) co_return;
   }
@@ -59,39 +60,40 @@
   muted_ = muted;
   boost::system::error_code ignored;
   if (muted) socket_.cancel(ignored);
-  if (!muted && !hears_ && socket_.is_open()) {
+  if (!muted && !receiving_ && socket_.is_open()) {
     net::spawn(socket_.get_executor(), logger_, "peer messages", receive());
   }
 }
 
-void PeerLink::tag_messages(double datagrams_per_s) { bag_.emplace(datagrams_per_s); }
+void PeerLink::tag_messages(double datagrams_per_s) { batcher_.emplace(datagrams_per_s); }
 
 std::unique_ptr<LedgerEndpoint> PeerLink::join(const std::string& ledger, core::Core& core) {
   return std::make_unique<LedgerEndpoint>(*this, tag_of(ledger), core);
 }
 
-void PeerLink::tell(const LedgerEndpoint& line, int to, const std::string& bytes) {
-  const auto most = bag_ ? kMaxTaggedMessageBytes : kMaxDatagramBytes;
+void PeerLink::send(const LedgerEndpoint& endpoint, int to, const std::string& bytes) {
+  const auto max_bytes = batcher_ ? kMaxTaggedMessageBytes : kMaxDatagramBytes;
   if (!socket_.is_open() || muted_ || to < 0 || static_cast<std::size_t>(to) >= peers_.size() ||
-      bytes.size() > most) {
+      bytes.size() > max_bytes) {
     ++counters_.peer_dropped;
     return;
   }
-  if (!bag_) return send(to, bytes);
-  if (!bag_->enqueue(line.tag, to, bytes)) ++counters_.peer_crowded;
+  if (!batcher_) return send_datagram(to, bytes);
+  if (!batcher_->enqueue(endpoint.tag, to, bytes)) ++counters_.peer_crowded;
   flush();
 }
 
-void PeerLink::send(int to, const std::string& bytes) {
-  boost::system::error_code error;  // a datagram that cannot leave at once is lost, as any may be
+void PeerLink::send_datagram(int to, const std::string& bytes) {
+  // A datagram that cannot be sent at once is lost, as the network may lose any.
+  boost::system::error_code error;
   socket_.send_to(net::asio::buffer(bytes), peers_[static_cast<std::size_t>(to)], 0, error);
   ++(error ? counters_.peer_dropped : counters_.peer_sent);
 }
 
 void PeerLink::flush() {
   const auto now = net::Clock::now();
-  while (const auto datagram = bag_->next(now)) send(datagram->to, datagram->bytes);
-  const auto due = bag_->next_due_at();
+  while (const auto datagram = batcher_->next(now)) send_datagram(datagram->to, datagram->bytes);
+  const auto due = batcher_->next_due_at();
   if (!due || timer_.expiry() == *due) return;
   timer_.expires_at(*due);
   timer_.async_wait([this](const boost::system::error_code& error) {
@@ -105,47 +107,48 @@
   timer_.cancel();
 }
 
-// The one that came last: a pool that was replaced may be at work for a while beside its successor.
-LedgerEndpoint* PeerLink::line_of(Tag tag) {
-  const auto at =
-      std::find_if(lines_.rbegin(), lines_.rend(), [&](const auto* line) { return line->tag == tag; });
-  return at == lines_.rend() ? nullptr : *at;
+// Returns the endpoint that joined last: a pool that was replaced may still be finishing its RPCs beside its
+// successor.
+LedgerEndpoint* PeerLink::endpoint_of(Tag tag) {
+  const auto at = std::find_if(endpoints_.rbegin(), endpoints_.rend(),
+                               [&](const auto* endpoint) { return endpoint->tag == tag; });
+  return at == endpoints_.rend() ? nullptr : *at;
 }
 
-void PeerLink::received(int from, std::string_view bytes) {
-  if (!bag_) {
+void PeerLink::handle_datagram(int from, std::string_view bytes) {
+  if (!batcher_) {
     ++counters_.peer_received;
-    if (!lines_.empty()) lines_.front()->core.peer_said(from, std::string(bytes));
+    if (!endpoints_.empty()) endpoints_.front()->core.peer_said(from, std::string(bytes));
     return;
   }
-  const bool whole = unpack(bytes, [&](Tag tag, std::string_view message) {
-    if (auto* line = line_of(tag)) {
-      line->core.peer_said(from, std::string(message));
+  const bool well_formed = unpack(bytes, [&](Tag tag, std::string_view message) {
+    if (auto* endpoint = endpoint_of(tag)) {
+      endpoint->core.peer_said(from, std::string(message));
     } else {
-      ++counters_.peer_unknown_pool;  // a peer may have pools that are not here
+      ++counters_.peer_unknown_pool;  // the peer has a pool that is not configured here
     }
   });
-  ++(whole ? counters_.peer_received : counters_.peer_dropped);
+  ++(well_formed ? counters_.peer_received : counters_.peer_dropped);
 }
 
 net::awaitable<void> PeerLink::receive() {
-  std::array<char, 2048> bytes{};
-  if (std::exchange(hears_, true)) co_return;
+  std::array<char, kReceiveBufferBytes> bytes{};
+  if (std::exchange(receiving_, true)) co_return;
   while (socket_.is_open() && !muted_) {
     net::udp::endpoint from;
     const auto [error, count] =
         co_await socket_.async_receive_from(net::asio::buffer(bytes), from, net::kResult);
     if (error == net::asio::error::operation_aborted) break;
-    if (error) continue;  // such as word that an earlier datagram found nobody
+    if (error) continue;  // for example, an ICMP error for an earlier datagram
     const auto peer = std::find(peers_.begin(), peers_.end(), from);
     if (peer == peers_.end() || count > kMaxDatagramBytes) {
       ++counters_.peer_dropped;
       continue;
     }
-    received(static_cast<int>(peer - peers_.begin()), {bytes.data(), count});
+    handle_datagram(static_cast<int>(peer - peers_.begin()), {bytes.data(), count});
   }
-  hears_ = false;
-  if (!muted_ && socket_.is_open()) set_muted(false);  // unmuted before it had noticed
+  receiving_ = false;
+  if (!muted_ && socket_.is_open()) set_muted(false);  // unmuted before this coroutine saw that it was muted
 }
 
 }  // namespace cranemux::peers
--- a/src/resolver/call_pacing.h
+++ b/src/resolver/call_pacing.h
@@ -1,7 +1,8 @@
-// When discovery is called; free of I/O. Discovery is one service for the whole tier, and a release or its
-// own fault brings all gatekeepers to it at once. So the tier's calls, not one gatekeeper's, have a stated
-// rate: who starts, or loses a watch, waits a random part of the time that all together need at that rate,
-// and who fails backs off from there. The stored list serves meanwhile.
+// Decides when a gatekeeper calls discovery; free of I/O. Discovery is one service for the whole tier, and a
+// release or its own failure makes all gatekeepers call it at once. So the call rate is bounded for the tier
+// rather than for each gatekeeper: one that starts, or loses its watch, waits for a random part of the time
+// that the whole tier needs at that rate, and backs off from there while its calls fail. The stored list of
+// nodes stays in use meanwhile.
 #pragma once
 
 #include <chrono>
@@ -15,56 +16,61 @@
 class CallPacing {
  public:
   using Time = std::chrono::nanoseconds;
-  static constexpr double kTierCallsPerSecond = 20;  // a second, of the whole tier, and more only where ...
-  static constexpr std::chrono::milliseconds kMaxSpread{4000};  // ... all would not have called within this
-  static constexpr std::chrono::milliseconds kMinWait{50}, kMaxWait{1000};  // waits of a gatekeeper alone
-  static constexpr std::chrono::milliseconds kMaxMoveWait{
-      2000};  // at most: a new address counts as known soon
-  // An empty line comes every 2 s while nothing changes. A watch that misses one is left: what it would bring
-  // counts as told 6 s after it fell silent, and the calls after it may fail, too.
+  // Calls of the whole tier; a larger tier exceeds it so that all its calls fit within kMaxSpread.
+  static constexpr double kTierCallsPerSecond = 20;
+  static constexpr std::chrono::milliseconds kMaxSpread{4000};
+  static constexpr std::chrono::milliseconds kMinWait{50},
+      kMaxWait{1000};  // of the only gatekeeper of a tier
+  // After a change of discovery's address, which is to take effect soon.
+  static constexpr std::chrono::milliseconds kMaxMoveWait{2000};
+  // Discovery sends an empty line every 2 s while nothing changes. A watch that misses one is closed: the
+  // changes that it fails to deliver count as known kChangesKnownAfter after it fell silent, and the calls
+  // that follow may fail, too.
   static constexpr std::chrono::milliseconds kSilenceTimeout{2500};
-  static constexpr std::chrono::milliseconds kChangesKnownAfter{6000};  // by the protocol
-  static constexpr std::chrono::milliseconds kCallAllowance{
-      300};  // what a call and its answer may take of it
+  static constexpr std::chrono::milliseconds kChangesKnownAfter{6000};  // by discovery's protocol
+  static constexpr std::chrono::milliseconds kCallAllowance{300};  // of that, for a call and its response
 
-  // How long a watch is waited for.
+  // When a watch is given up.
   struct Timeouts {
-    // Of the answer to a call, from its beginning. A discovery that all share works on calls that nobody
-    // waits for any more, too: so no less than it takes to fail one by itself (2 s).
+    // From the start of a call to the head of the response. A discovery that the tier shares also works on
+    // calls whose callers have given up, so this is no shorter than the 2 s after which it fails a call
+    // itself.
     Time response_head{std::chrono::milliseconds(2500)};
-    Time silence{kSilenceTimeout};  // of a watch that is open
+    Time silence{kSilenceTimeout};  // between two reads of an open watch
   };
 
   CallPacing(int gatekeepers, std::uint64_t seed) : CallPacing(gatekeepers, seed, kMaxWait, Timeouts()) {}
-  // `longest`: wait of a gatekeeper alone.
-  CallPacing(int gatekeepers, std::uint64_t seed, Time longest, const Timeouts& patience);
-  Time initial_wait() { return part_of(spread_); }
-  Time wait_after_move() { return part_of(std::min<Time>(spread_, kMaxMoveWait)); }
-  // After a watch that has ended: a good one lasted, and brought something.
+  // `gatekeepers`: size of the tier. `max_single_wait`: the longest wait where it is 1.
+  CallPacing(int gatekeepers, std::uint64_t seed, Time max_single_wait, const Timeouts& timeouts);
+  // Each returns the wait until the next call.
+  Time initial_wait() { return random_part_of(spread_); }
+  Time wait_after_move() { return random_part_of(std::min<Time>(spread_, kMaxMoveWait)); }
+  // After a watch has ended. `good`: it lasted for some time and delivered a result.
   Time wait_after_watch(bool good);
-  // After one that has fallen silent and was left for it: what it misses counts as told kTold after it fell
-  // silent, so the call and its answer have to come by then, also of the last of a tier whose watches all
-  // fell silent at once. That is 1.3 times the calls a second that start or end together, where there are
-  // more than 64 gatekeepers, and the same with fewer.
+  // After a watch was closed because it fell silent. The changes that it missed count as known
+  // kChangesKnownAfter after the silence began, so the next call and its response have to be complete by
+  // then, also for the last gatekeeper of a tier whose watches all fell silent at once. Compared with calls
+  // that are spread over spread(), that is 1.3 times the rate for more than 64 gatekeepers, and the same rate
+  // for fewer.
   Time wait_after_silence(bool good);
-  Time max_wait() const;  // wait between two calls
-  const Timeouts& timeouts() const { return patience_; }
-  Time spread() const { return spread_; }
+  Time max_wait() const;  // between two calls
+  const Timeouts& timeouts() const { return timeouts_; }
+  Time spread() const { return spread_; }  // time over which the tier spreads calls that start together
 
  private:
-  Time part_of(Time most);  // any, each as likely
+  Time random_part_of(Time max);  // uniformly distributed from 0 to `max`
 
   std::mt19937_64 random_;
-  Time spread_;  // of calls that begin together
-  Time longest_alone_;
-  Timeouts patience_;
-  int failures_ = 0;
+  Time spread_;
+  Time max_single_wait_;
+  Timeouts timeouts_;
+  int failures_ = 0;  // consecutive ones, up to kMaxDoublings
 };
 
-// Where changes come by themselves, discovery's address is an agent of this machine's own: nobody else waits
-// for it, and what it has counts as told at once, also when it has been silent or unreachable until then.
-// There each gatekeeper calls as if alone, and a call that is not answered is given up, and made again,
-// within the grace that a drain leaves.
+// Returns the pacing for a gatekeeper. Where discovery pushes changes by itself, its address is an agent on
+// this machine, which serves no other gatekeeper, and what it knows counts as known at once, also right after
+// it was silent or unreachable. There each gatekeeper calls as if it were the only one, and a call without a
+// response is given up and repeated within the grace that a drain allows.
 CallPacing call_pacing_for(const cranemux::Settings& settings);
 
 }  // namespace cranemux::resolver
--- a/src/resolver/object_reader.cpp
+++ b/src/resolver/object_reader.cpp
@@ -4,10 +4,10 @@
 
 namespace cranemux::resolver {
 
-bool ObjectReader::byte(char c) {
-  if (in_text_) {
+bool ObjectReader::read_byte(char c) {
+  if (in_string_) {
     if (static_cast<unsigned char>(c) < ' ') return false;
-    in_text_ = escaped_ || c != '"';
+    in_string_ = escaped_ || c != '"';
     escaped_ = !escaped_ && c == '\\';
     return true;
   }
@@ -17,19 +17,19 @@
     case '\r':
       return true;
     case '\n':
-      return depth_ == 0 || !std::exchange(bare_line_, true);
+      return depth_ == 0 || !std::exchange(empty_line_, true);
     case '{':
     case '[':
-      bare_line_ = false;
+      empty_line_ = false;
       ++depth_;
       return true;
     case '}':
     case ']':
-      bare_line_ = false;
+      empty_line_ = false;
       return depth_ > 0 && (--depth_, true);
     default:
-      bare_line_ = false;
-      in_text_ = c == '"';
+      empty_line_ = false;
+      in_string_ = c == '"';
       return depth_ > 0;
   }
 }
@@ -39,11 +39,11 @@
   std::size_t at = 0;
   auto state = State::incomplete;
   while (state == State::incomplete && at < text.size()) {
-    const bool within = depth_ > 0;
-    const bool good = byte(text[at++]);
-    if (within || depth_ > 0) object_ += text[at - 1];
-    if (!good || object_.size() > most_) state = State::damaged;
-    if (state == State::incomplete && within && depth_ == 0) state = State::object;
+    const bool was_inside = depth_ > 0;
+    const bool valid = read_byte(text[at++]);
+    if (was_inside || depth_ > 0) object_ += text[at - 1];
+    if (!valid || object_.size() > max_object_bytes_) state = State::damaged;
+    if (state == State::incomplete && was_inside && depth_ == 0) state = State::object;
   }
   text.erase(0, at);
   return state;
--- a/src/resolver/object_reader.h
+++ b/src/resolver/object_reader.h
@@ -1,6 +1,6 @@
-// Finds whole JSON objects in what a watch brings, whatever lines they are written on and wherever their
-// bytes are parted. Free of I/O. Lines are empty only between two objects: one within an object, or anything
-// else between two, is damage, after which nothing that follows is to be believed.
+// Splits the body of a watch into complete JSON objects, however they are broken into lines and wherever the
+// stream of bytes is split. Free of I/O. Empty lines may stand between two objects only, and nothing else
+// may: otherwise the stream is damaged, and the rest of it is not to be used.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +12,20 @@
  public:
   enum class State { incomplete, object, damaged };
 
-  explicit ObjectReader(std::size_t most) : most_(most) {}  // bytes of one object
-  // Takes from the front of `text`. `object`: one is whole, see object(); call again for what follows.
+  explicit ObjectReader(std::size_t max_object_bytes) : max_object_bytes_(max_object_bytes) {}
+  // Removes what it has read from the front of `text`. After State::object, object() is complete, and `text`
+  // may hold more: to be called again, until State::incomplete or State::damaged.
   State consume(std::string& text);
   const std::string& object() const { return object_; }
 
  private:
-  bool byte(char c);  // false: damage
+  bool read_byte(char c);  // false: the stream is damaged
 
-  const std::size_t most_;
+  const std::size_t max_object_bytes_;
   std::string object_;
   std::size_t depth_ = 0;
-  bool in_text_ = false, escaped_ = false, bare_line_ = false;
+  bool in_string_ = false, escaped_ = false;
+  bool empty_line_ = false;  // since the last line end there was only white space
 };
 
 }  // namespace cranemux::resolver
--- a/src/resolver/resolver.cpp
+++ b/src/resolver/resolver.cpp
@@ -8,8 +8,10 @@
 namespace cranemux::resolver {
 namespace {
 
-constexpr std::chrono::seconds kLasts{1};  // a watch that ends sooner has failed, whatever it brought
-constexpr std::size_t kMostLine = 4 * 1024 * 1024;
+// A watch that ends sooner has failed, whatever it delivered.
+constexpr std::chrono::seconds kMinWatchTime{1};
+constexpr std::size_t kMaxResultBytes = 4 * 1024 * 1024;
+constexpr std::size_t kReadBytes = 16 * 1024;
 
 cranemux::ServerState state_of(const std::string& text) {
   if (text == "active") return cranemux::ServerState::running;
@@ -37,13 +39,11 @@
 }
 
 void Resolver::start(const config::ResolverResult& known, bool watches) {
-  intake_.start(known);
+  filter_.start(known);
   listener_(known, cranemux::ListScope::stored);
-  if (watches) scope_.spawn(socket_.get_executor(), logger_, "discovery", watch());
+  if (watches) scope_.spawn(socket_.get_executor(), logger_, "discovery", watch_repeatedly());
 }
 
-// Who is listed stays in use until the new address tells more. Versions there may be numbered differently, so
-// the whole list is asked for.
 void Resolver::set_discovery(const config::Address& discovery) {
   discovery_ = discovery;
   moved_ = true;
@@ -76,14 +76,14 @@
   return list;
 }
 
-net::awaitable<void> Resolver::watch() {
+net::awaitable<void> Resolver::watch_repeatedly() {
   co_await wait(pacing_.initial_wait());
   while (!stopped_) {
-    good_ = silent_ = false;
-    if (std::exchange(moved_, false)) intake_.discovery_moved();
-    const auto begun = net::Clock::now();
+    delivered_ = silent_ = false;
+    if (std::exchange(moved_, false)) filter_.discovery_moved();
+    const auto opened_at = net::Clock::now();
     ++counters_.resolver_calls;
-    co_await follow();
+    co_await watch_once();
     boost::system::error_code ignored;
     socket_.close(ignored);
     if (stopped_) co_return;
@@ -92,7 +92,7 @@
       continue;
     }
     ++counters_.resolver_breaks;
-    const bool good = good_ && net::Clock::now() - begun >= kLasts;
+    const bool good = delivered_ && net::Clock::now() - opened_at >= kMinWatchTime;
     co_await wait(silent_ ? pacing_.wait_after_silence(good) : pacing_.wait_after_watch(good));
   }
 }
@@ -102,33 +102,35 @@
   co_await timer_.async_wait(net::kResult);
 }
 
-net::awaitable<void> Resolver::follow() {
-  // Silence ends the watch: a connection to a machine that has vanished stays open.
-  bool headed = false;
-  const auto allow = [this, &headed](CallPacing::Time silence) {
-    timer_.expires_after(silence);
-    timer_.async_wait([this, opened = headed](const boost::system::error_code& error) {
+net::awaitable<void> Resolver::watch_once() {
+  // A timeout closes the watch when nothing arrives: the connection to a machine that has vanished stays
+  // open.
+  bool head_received = false;
+  const auto set_timeout = [this, &head_received](CallPacing::Time timeout) {
+    timer_.expires_after(timeout);
+    timer_.async_wait([this, was_open = head_received](const boost::system::error_code& error) {
       if (error || timer_.expiry() > net::Clock::now()) return;
-      silent_ = opened;
+      silent_ = was_open;
       boost::system::error_code ignored;
       socket_.close(ignored);
     });
   };
-  allow(pacing_.timeouts().response_head);
-  const auto [refused] = co_await socket_.async_connect(net::endpoint<net::tcp>(discovery_), net::kResult);
-  if (refused) co_return;
-  const auto request = "GET /registry/instances?watch=1&after=" + std::to_string(intake_.resume_version()) +
+  set_timeout(pacing_.timeouts().response_head);
+  const auto [connect_error] =
+      co_await socket_.async_connect(net::endpoint<net::tcp>(discovery_), net::kResult);
+  if (connect_error) co_return;
+  const auto request = "GET /registry/instances?watch=1&after=" + std::to_string(filter_.resume_version()) +
                        " HTTP/1.1\r\nHost: " + discovery_.host + "\r\n\r\n";
-  const auto [failed, written] =
+  const auto [write_error, written] =
       co_await net::asio::async_write(socket_, net::asio::buffer(request), net::kResult);
-  if (failed) co_return;
-  std::string in, text;
-  ObjectReader objects(kMostLine);
+  if (write_error) co_return;
+  std::string in, body;
+  ObjectReader objects(kMaxResultBytes);
   bool done = false;
   while (!done) {
-    if (co_await net::read_more(socket_, in, 16 * 1024) == 0) co_return;
-    if (headed) allow(pacing_.timeouts().silence);
-    if (!headed) {
+    if (co_await net::read_more(socket_, in, kReadBytes) == 0) co_return;
+    if (head_received) set_timeout(pacing_.timeouts().silence);
+    if (!head_received) {
       http::Message head;
       const auto verdict = http::parse_head(in, http::Kind::response, head);
       if (verdict.state == http::State::partial) continue;
@@ -139,48 +141,48 @@
         co_return;
       }
       in.erase(0, head.size);
-      headed = true;
-      allow(pacing_.timeouts().silence);
+      head_received = true;
+      set_timeout(pacing_.timeouts().silence);
     }
-    if (!http::take_chunks(in, text, done, kMostLine) || in.size() > kMostLine) {
+    if (!http::take_chunks(in, body, done, kMaxResultBytes) || in.size() > kMaxResultBytes) {
       ++counters_.resolver_bad;
       co_return;
     }
-    for (auto state = objects.consume(text); state != ObjectReader::State::incomplete;
-         state = objects.consume(text)) {
-      // What follows one that is not taken builds on it.
+    for (auto state = objects.consume(body); state != ObjectReader::State::incomplete;
+         state = objects.consume(body)) {
+      // Results that follow one that was refused build on it.
       if (state == ObjectReader::State::damaged) {
         ++counters_.resolver_bad;
-        intake_.damaged();
+        filter_.damaged();
         co_return;
       }
-      if (!take(objects.object())) co_return;
+      if (!take_result(objects.object())) co_return;
     }
   }
 }
 
-bool Resolver::take(std::string_view text) {
+bool Resolver::take_result(std::string_view text) {
   try {
     const auto result = config::parse_resolver_result(json::parse(text), "discovery");
-    const auto verdict = intake_.evaluate(result);
+    const auto verdict = filter_.evaluate(result);
     if (verdict != ResultFilter::Verdict::accepted) {
-      refuse(verdict, result);
+      log_refused(verdict, result);
       return false;
     }
     ++counters_.resolver_results;
-    good_ = true;
+    delivered_ = true;
     listener_(result, result.snapshot ? cranemux::ListScope::full : cranemux::ListScope::changes);
     return true;
-  } catch (const std::exception& error) {  // damaged: the next watch brings the whole list
+  } catch (const std::exception& error) {  // damaged: the next watch requests the full list
     ++counters_.resolver_bad;
-    intake_.damaged();
-    logger_.log(metrics::Level::warning, "discovery: ", error.what());
+    filter_.damaged();
+    logger_.log(metrics::Level::warning, "discovery: invalid result: ", error.what());
     return false;
   }
 }
 
-void Resolver::refuse(ResultFilter::Verdict why, const config::ResolverResult& result) {
-  switch (why) {
+void Resolver::log_refused(ResultFilter::Verdict verdict, const config::ResolverResult& result) {
+  switch (verdict) {
     case ResultFilter::Verdict::empty:
       ++counters_.resolver_empty;
       break;
@@ -190,8 +192,8 @@
     default:
       ++counters_.resolver_crowded;
   }
-  logger_.log(metrics::Level::warning, "discovery: version ", result.index, " with ", result.entries.size(),
-              " nodes is not taken; the list stays as it was");
+  logger_.log(metrics::Level::warning, "discovery: refused version ", result.index, " with ",
+              result.entries.size(), " nodes; the present list stays in use");
 }
 
 }  // namespace cranemux::resolver
--- a/src/tier/isolation.h
+++ b/src/tier/isolation.h
@@ -1,8 +1,8 @@
-// Is this gatekeeper cut off from all others of its tier? Said by evidence, not by a fixed wait: in a large
-// tier mail comes many times a second, so questions to several members, none answered, and not a word from
-// anyone else either, tell it sooner than silence alone. Who has been stalled accuses nobody (after
-// "Lifeguard: Local Health Awareness for More Accurate Failure Detection", A. Dadgar, J. Phillips, J. Currey,
-// 2017). Free of I/O.
+// Detects that this gatekeeper is isolated from all other members of its tier. Decides by evidence rather
+// than by a fixed wait: in a large tier messages arrive many times a second, so requests to several members
+// that all stay unanswered, with no other message from anyone meanwhile, show it sooner than silence alone. A
+// gatekeeper that has been stalled itself draws no conclusion from it (after "Lifeguard: Local Health
+// Awareness for More Accurate Failure Detection", A. Dadgar, J. Phillips, J. Currey, 2017). Free of I/O.
 #pragma once
 
 #include <algorithm>
@@ -11,65 +11,68 @@
 
 namespace cranemux::tier {
 
-using Time = std::chrono::nanoseconds;  // of the holder's steady clock
+using Time = std::chrono::nanoseconds;  // on the local steady clock
 
 class Isolation {
  public:
-  explicit Isolation(Time now) : heard_(now), ticked_(now) {}
+  explicit Isolation(Time now) : last_message_(now), last_tick_(now) {}
 
-  // A question has left for a member, after the last tick.
+  // Records that a request was sent to a member, at the time of the last tick.
   void record_request(int member) {
-    if (questions_ == 0) {
+    if (unanswered_ == 0) {
       members_ = 0;
-      asked_since_ = ticked_;
+      unanswered_since_ = last_tick_;
     }
-    ++questions_;
-    const auto end = asked_.begin() + members_;
-    if (std::find(asked_.begin(), end, member) == end && members_ < kMembers)
-      asked_[static_cast<std::size_t>(members_++)] = member;
+    ++unanswered_;
+    const auto end = requested_.begin() + members_;
+    if (std::find(requested_.begin(), end, member) == end && members_ < kMinMembers)
+      requested_[static_cast<std::size_t>(members_++)] = member;
   }
-  // Anything good from anyone.
+  // Records a valid message from any member.
   void record_message(Time now) {
     if (silent(now)) silent_until_ = now;
-    if (isolated(now)) evidence_from_ = now;
-    heard_ = now;
-    questions_ = 0;
+    if (isolated(now)) evidence_valid_from_ = now;
+    last_message_ = now;
+    unanswered_ = 0;
   }
-  // Call it before anything else of each turn. A gap is a stall of its own: what it has missed meanwhile
-  // proves nothing.
+  // To be called before anything else in each iteration of the event loop. A gap between two ticks means that
+  // this process was stalled: what it missed meanwhile proves nothing about the others.
   void tick(Time now) {
-    if (now - ticked_ > kStall) {
-      heard_ = std::max(heard_, now - kLeastSilence / 2);
-      questions_ = 0;
-      evidence_from_ = now;
+    if (now - last_tick_ > kStall) {
+      last_message_ = std::max(last_message_, now - kMinSilence / 2);
+      unanswered_ = 0;
+      evidence_valid_from_ = now;
     }
-    ticked_ = now;
+    last_tick_ = now;
   }
-  // Nobody has said a word since the first of some questions left, a while ago. That may be the one who was
-  // asked, or the way to all: worth a question to others, and nobody is suspected for it.
-  bool silent(Time now) const { return questions_ > 0 && now - asked_since_ > kLeastSilence; }
-  // When the last silence ended.
+  // Returns true if no message at all has arrived for kMinSilence since the first unanswered request. Either
+  // the requested member has failed or this gatekeeper is isolated: a reason to ask other members, but not
+  // yet to suspect anyone.
+  bool silent(Time now) const { return unanswered_ > 0 && now - unanswered_since_ > kMinSilence; }
+  // Returns when the last silence ended.
   Time silent_until() const { return silent_until_; }
-  // Questions that left before this were asked while it was cut off or stalled: that nobody answered them
-  // says nothing about who was asked.
-  Time evidence_valid_from() const { return evidence_from_; }
+  // Requests that were sent before this time were sent while this gatekeeper was isolated or stalled: that
+  // they were not answered is no evidence against the requested members.
+  Time evidence_valid_from() const { return evidence_valid_from_; }
   bool isolated(Time now) const {
-    const auto silence = now - heard_;
-    return silence > kSilence ||
-           (silence > kLeastSilence && questions_ >= kQuestions && members_ >= kMembers);
+    const auto silence = now - last_message_;
+    return silence > kMaxSilence ||
+           (silence > kMinSilence && unanswered_ >= kMinRequests && members_ >= kMinMembers);
   }
 
  private:
-  static constexpr Time kSilence = std::chrono::seconds(3);  // longer than stalls: enough by itself
-  static constexpr Time kLeastSilence = std::chrono::milliseconds(400);
-  static constexpr Time kStall = std::chrono::milliseconds(300);  // past a subperiod, when a quiet one ticks
-  // At a loss of a third of all messages, no answer to so many comes once in 300 times; and others'
-  // questions, of which none came either, make that rarer.
-  static constexpr int kQuestions = 8, kMembers = 4;
+  static constexpr Time kMaxSilence = std::chrono::seconds(3);  // longer than stalls: sufficient by itself
+  static constexpr Time kMinSilence = std::chrono::milliseconds(400);
+  // Longer than the subperiod at which an idle gatekeeper ticks.
+  static constexpr Time kStall = std::chrono::milliseconds(300);
+  // Unanswered requests, and different members among their receivers, that show isolation. With a third of
+  // all messages lost, that many requests stay unanswered by chance once in 300 times; that no request from
+  // other members arrives meanwhile either makes it rarer still.
+  static constexpr int kMinRequests = 8, kMinMembers = 4;
 
-  Time heard_, ticked_, asked_since_{0}, silent_until_{0}, evidence_from_{0};
-  int questions_ = 0, members_ = 0;
-  std::array<int, kMembers> asked_{};
+  Time last_message_, last_tick_, unanswered_since_{0}, silent_until_{0}, evidence_valid_from_{0};
+  int unanswered_ = 0, members_ = 0;  // requests without an answer, and their different receivers
+  std::array<int, kMinMembers> requested_{};
 };
 
 }  // namespace cranemux::tier
--- a/tests/object_reader_test.cpp
+++ b/tests/object_reader_test.cpp
@@ -1,4 +1,5 @@
-// What a watch brings, whatever lines it is written on and wherever its bytes are parted.
+// Splitting the body of a watch into objects, however they are broken into lines and wherever the bytes are
+// split.
 #include "resolver/object_reader.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +19,7 @@
     "      \"status\": \"leaving\"\n    }\n  ]\n}\n";
 const std::string kOneLine = "{\"index\":44,\"endpoints\":[]}\n";
 
-// The objects in it, `damaged` behind them where it ends in damage.
+// Returns the objects in `text`, read in pieces of `piece` bytes, followed by "damaged" if it is damaged.
 std::vector<std::string> objects_in(const std::string& text, std::size_t piece) {
   ObjectReader reader(4096);
   std::vector<std::string> out;
@@ -37,7 +38,7 @@
   return out;
 }
 
-TEST(ObjectReader, ObjectsAreWholeWhereverTheirBytesAreParted) {
+TEST(ObjectReader, ReadsWholeObjectsWhereverTheirBytesAreSplit) {
   const auto text = "\n\n" + kIndented + "\n \r\n" + kOneLine + kOneLine + "\n";
   for (std::size_t piece = 1; piece <= text.size(); ++piece) {
     const auto found = objects_in(text, piece);
@@ -48,21 +49,21 @@
   }
 }
 
-// One that breaks off must not swallow what comes behind it, for the empty lines go on.
+// A truncated object must not swallow what follows it: discovery keeps sending empty lines, which end it.
 TEST(ObjectReader, AnEmptyLineWithinAnObjectIsDamage) {
-  const auto cut = kIndented.substr(0, 60);
+  const auto truncated = kIndented.substr(0, 60);
   for (std::size_t piece = 1; piece < 100; ++piece) {
-    EXPECT_EQ(objects_in(cut + "\n\n" + kOneLine, piece), std::vector<std::string>{"damaged"}) << piece;
+    EXPECT_EQ(objects_in(truncated + "\n\n" + kOneLine, piece), std::vector<std::string>{"damaged"}) << piece;
   }
 }
 
-TEST(ObjectReader, WhatIsNoObjectIsDamage) {
+TEST(ObjectReader, AnythingButObjectsIsDamage) {
   for (const std::string text : {"nonsense\n", "}\n", "\"index\"\n", "{\"a\":\"b\nc\"}\n", "\x01"}) {
     EXPECT_EQ(objects_in(text + kOneLine, 1), std::vector<std::string>{"damaged"}) << text;
   }
 }
 
-TEST(ObjectReader, NoObjectGrowsPastItsBound) {
+TEST(ObjectReader, BoundsTheSizeOfAnObject) {
   ObjectReader reader(10);
   std::string in = "{\"a\":\"" + std::string(100, 'x');
   EXPECT_EQ(reader.consume(in), State::damaged);
--- a/tests/pacing_test.cpp
+++ b/tests/pacing_test.cpp
@@ -1,4 +1,4 @@
-// Many gatekeepers and one discovery, in virtual time.
+// The calls of many gatekeepers to one discovery, in virtual time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,28 +16,28 @@
 using std::chrono::seconds;
 using Time = CallPacing::Time;
 
-// One service for all calls: they wait in turn for some work each, a failed one as well, and fail past 2
-// s.
+// A discovery that handles calls one after the other, each for `work`, also those that it then fails. A call
+// that would wait for more than 2 s fails at once.
 class Discovery {
  public:
   bool call(Time now) {
     ++calls[now / seconds(1)];
-    free_ = std::max(free_, now);
-    if (free_ - now > seconds(2)) return false;
-    free_ += work;
+    idle_at_ = std::max(idle_at_, now);
+    if (idle_at_ - now > seconds(2)) return false;
+    idle_at_ += work;
     return up;
   }
-  int most() const {
-    int most = 0;
-    for (const auto& [second, count] : calls) most = std::max(most, count);
-    return most;
+  int max_calls_per_second() const {
+    int max = 0;
+    for (const auto& [second, count] : calls) max = std::max(max, count);
+    return max;
   }
   bool up = true;
   Time work = milliseconds(30);
   std::map<std::int64_t, int> calls;  // by second
 
  private:
-  Time free_{};
+  Time idle_at_{};
 };
 
 struct Tier {
@@ -47,7 +47,7 @@
       next.push({gatekeepers.back().initial_wait(), g});
     }
   }
-  // Whose call fails comes again; returns when the last one got through.
+  // Gatekeepers whose calls fail retry; returns the time of the last successful call.
   Time run(Discovery& discovery, Time until) {
     Time last{};
     while (!next.empty() && next.top().first <= until) {
@@ -55,7 +55,7 @@
       next.pop();
       if (discovery.call(now)) {
         last = now;
-        ++through;
+        ++served;
       } else {
         next.push({now + gatekeepers[static_cast<std::size_t>(g)].wait_after_watch(false), g});
       }
@@ -65,47 +65,47 @@
   using Call = std::pair<Time, int>;
   std::vector<CallPacing> gatekeepers;
   std::priority_queue<Call, std::vector<Call>, std::greater<>> next;
-  int through = 0;
+  int served = 0;
 };
 
-TEST(CallPacing, AHerdThatStartsStaysUnderTheTiersRateAndAllAreServed) {
+TEST(CallPacing, ATierThatStartsStaysWithinItsCallRateAndIsServed) {
   for (const int count : {2, 20, 100, 300}) {
     Discovery discovery;
-    discovery.work = count > 100 ? milliseconds(9) : milliseconds(30);  // a tier has a discovery of its size
+    discovery.work = count > 100 ? milliseconds(9) : milliseconds(30);  // a large tier has a faster discovery
     Tier tier(count);
     const auto last = tier.run(discovery, seconds(60));
-    EXPECT_EQ(tier.through, count);
+    EXPECT_EQ(tier.served, count);
     EXPECT_LE(last, tier.gatekeepers.front().spread()) << count;
-    EXPECT_LE(last, seconds(4)) << count;  // well before a drain counts as told, 6 s after
-    EXPECT_LE(discovery.most(), std::max(CallPacing::kTierCallsPerSecond, count / 4.0) * 1.7)
-        << count;  // any second of random times
+    EXPECT_LE(last, seconds(4)) << count;  // well before changes count as known, 6 s after
+    EXPECT_LE(discovery.max_calls_per_second(), std::max(CallPacing::kTierCallsPerSecond, count / 4.0) * 1.7)
+        << count;  // random times: some seconds have more calls
   }
 }
 
-TEST(CallPacing, AFaultOfDiscoveryMakesTheTierQuieterAndAllComeBack) {
+TEST(CallPacing, ATierBacksOffWhileDiscoveryFailsAndRecovers) {
   Discovery discovery;
   discovery.up = false;
   Tier tier(100);
   tier.run(discovery, seconds(30));
-  EXPECT_EQ(tier.through, 0);
+  EXPECT_EQ(tier.served, 0);
   for (int second = 6; second < 30; ++second) EXPECT_LE(discovery.calls[second], 40) << second;
   for (auto& gatekeeper : tier.gatekeepers) EXPECT_LE(gatekeeper.max_wait(), seconds(5));
   discovery.up = true;
   tier.run(discovery, seconds(30) + tier.gatekeepers.front().max_wait());
-  EXPECT_EQ(tier.through, 100);
+  EXPECT_EQ(tier.served, 100);
 }
 
-TEST(CallPacing, AllThatLoseTheirWatchTogetherComeBackApart) {
+TEST(CallPacing, CallsAfterWatchesThatEndTogetherAreSpread) {
   Discovery discovery;
   std::vector<Time> calls;
   for (std::uint64_t g = 0; g < 100; ++g) calls.push_back(CallPacing(100, g).wait_after_watch(true));
   std::sort(calls.begin(), calls.end());
   for (const auto call : calls) EXPECT_TRUE(discovery.call(call));
-  EXPECT_LE(discovery.most(), CallPacing::kTierCallsPerSecond * 1.7);
+  EXPECT_LE(discovery.max_calls_per_second(), CallPacing::kTierCallsPerSecond * 1.7);
 }
 
-// However often: watches that end at once count as failed ones.
-TEST(CallPacing, WatchesThatEndAtOnceAgainAndAgainStayUnderTheTiersRate) {
+// Watches that end at once count as failed, however often that happens.
+TEST(CallPacing, WatchesThatEndAtOnceStayWithinTheTiersCallRate) {
   for (const int count : {100, 500}) {
     std::map<std::int64_t, int> calls;
     for (int g = 0; g < count; ++g) {
@@ -120,23 +120,24 @@
   }
 }
 
-TEST(CallPacing, AGatekeeperAloneCallsAtOnceAndBacksOff) {
+TEST(CallPacing, TheOnlyGatekeeperCallsAtOnceAndBacksOff) {
   CallPacing pacing(1, 7);
   EXPECT_EQ(pacing.initial_wait(), Time(0));
   EXPECT_EQ(pacing.wait_after_watch(true), CallPacing::kMinWait);
-  Time before{};
+  Time last_wait{};
   for (int i = 0; i < 20; ++i) {
     const auto wait = pacing.wait_after_watch(false);
     EXPECT_GE(wait, CallPacing::kMinWait);
     EXPECT_LE(wait, CallPacing::kMaxWait);
-    before = wait;
+    last_wait = wait;
   }
-  EXPECT_GE(before, CallPacing::kMaxWait / 2);
+  EXPECT_GE(last_wait, CallPacing::kMaxWait / 2);
   EXPECT_EQ(pacing.wait_after_watch(true), CallPacing::kMinWait);
 }
 
-// 300 gatekeepers that waited here sent to nodes that their own machine's agent had long called draining.
-TEST(CallPacing, AnAgentOfItsOwnIsCalledAtOnce) {
+// Without the exception for local agents, a tier of 300 gatekeepers spread its first calls and kept sending
+// to nodes that the agent on the same machine had long reported as draining.
+TEST(CallPacing, ALocalAgentIsCalledAtOnce) {
   Settings settings;
   settings.gateways = 300;
   EXPECT_EQ(call_pacing_for(settings).initial_wait(), Time(0));
@@ -144,9 +145,9 @@
   EXPECT_EQ(call_pacing_for(settings).spread(), CallPacing::kMaxSpread);
 }
 
-// What the agent has counts as told at once, and a node that drains may be sent to no longer than the grace:
-// a call that meets a silent agent is over, and the next one made, within it.
-TEST(CallPacing, AnAgentThatWasSilentIsHeardWithinTheGraceOfItsReturn) {
+// What a local agent knows counts as known at once, and a draining node may receive requests for no longer
+// than the grace: a call to a silent agent is given up and repeated within it.
+TEST(CallPacing, ALocalAgentThatWasSilentIsCalledWithinTheGrace) {
   for (const auto grace : {milliseconds(250), milliseconds(1000), milliseconds(5000)}) {
     Settings settings;
     settings.drain_grace = Time(grace).count();
@@ -156,9 +157,9 @@
   }
 }
 
-// What a silent watch misses counts as told after 6 s. By then it has been left (its last line may have come
-// in the moment in which it fell silent), and two calls after it may have failed, too.
-TEST(CallPacing, ASilentWatchIsLeftInTimeForTwoMoreCalls) {
+// Changes that a silent watch misses count as known after 6 s. By then the watch is closed (its last line may
+// have arrived just as it fell silent), and there is time for two more calls that fail.
+TEST(CallPacing, ASilentWatchIsClosedInTimeForTwoMoreCalls) {
   for (const auto grace : {milliseconds(250), milliseconds(1000)}) {
     Settings settings;
     settings.drain_grace = Time(grace).count();
@@ -166,15 +167,15 @@
     auto time = pacing.timeouts().silence;
     for (int i = 0; i < 2; ++i) time += pacing.wait_after_watch(false) + pacing.timeouts().response_head;
     EXPECT_LT(time + pacing.max_wait(), seconds(6));
-    EXPECT_GT(pacing.timeouts().silence, seconds(2));  // an empty line comes so often
+    EXPECT_GT(pacing.timeouts().silence, seconds(2));  // the interval of the empty lines
   }
 }
 
-// All watches of a tier fall silent at once, in the moment after a line: the last gatekeeper is heard within
-// 6 s, and no second has more calls than the tier may make. Again and again: no more than that either.
-TEST(CallPacing, TheLastOfATierIsHeardInTimeAfterASilence) {
+// All watches of a tier fall silent at once, just after a line: the last gatekeeper calls within 6 s, and no
+// second has more calls than the tier may make, also when this repeats.
+TEST(CallPacing, TheLastOfATierCallsInTimeAfterASilence) {
   for (const int count : {30, 64, 300, 470}) {
-    const double most = std::max(CallPacing::kTierCallsPerSecond, (count - 1) / 3.15);
+    const double max_calls = std::max(CallPacing::kTierCallsPerSecond, (count - 1) / 3.15);
     for (const bool good : {true, false}) {
       std::map<std::int64_t, int> calls;
       Time last{};
@@ -189,15 +190,16 @@
         }
       }
       EXPECT_LE(last + CallPacing::kCallAllowance, seconds(6)) << count;
-      EXPECT_GE(last, seconds(4) - milliseconds(count < 64 ? 1000 : 0)) << count;  // spread as far as may be
+      EXPECT_GE(last, seconds(4) - milliseconds(count < 64 ? 1000 : 0))
+          << count;  // spread as far as possible
       for (const auto& [second, all] : calls)
-        EXPECT_LE(all, most + 4 * std::sqrt(most)) << count << ' ' << second;
+        EXPECT_LE(all, max_calls + 4 * std::sqrt(max_calls)) << count << ' ' << second;
     }
   }
 }
 
-// What one gatekeeper's own agent misses is asked for as after any other end.
-TEST(CallPacing, AnAgentThatFallsSilentIsCalledAgainAsAfterAnyEnd) {
+// A silent watch of a local agent is followed by a call as after any other end of a watch.
+TEST(CallPacing, ALocalAgentThatFallsSilentIsCalledAsAfterAnyEnd) {
   Settings settings;
   settings.gateways = 470;
   settings.drain_grace = Time(milliseconds(1000)).count();
@@ -206,7 +208,7 @@
     EXPECT_EQ(one.wait_after_silence(good), other.wait_after_watch(good));
 }
 
-TEST(CallPacing, NobodyWaitsLongAtANewAddress) {
+TEST(CallPacing, WaitsAreShortAfterAnAddressChange) {
   for (const int count : {1, 4, 500}) {
     CallPacing pacing(count, 3);
     for (int i = 0; i < 100; ++i) EXPECT_LE(pacing.wait_after_move(), CallPacing::kMaxMoveWait);
